--- a/cranberrycleat/acceptance.py
+++ b/cranberrycleat/acceptance.py
@@ -26,12 +26,12 @@
 from cranberrycleat.table import ABSENT, Check, Put, Table, Transaction
 from cranberrycleat.table_http import Platform
 
-SETTLE_TRIES: Final = 3
-RETRY_S: Final = 5.0
+COMMIT_ATTEMPTS: Final = 3
+RETRY_AFTER_S: Final = 5.0
 
 
 @attrs.frozen(kw_only=True)
-class Home:
+class DataCentreCapacity:
     """How much room a data centre has for tasks of one job.
 
     Attributes:
@@ -43,20 +43,26 @@
     room: int
 
 
-def homes(spec: JobSpec, hosts: Iterable[HostEntry]) -> tuple[Home, ...]:
+def matching_data_centres(
+    spec: JobSpec, hosts: Iterable[HostEntry]
+) -> tuple[DataCentreCapacity, ...]:
     """Return the data centres whose listed hosts match, largest room first."""
     selector = selectors.parse(spec.selector, place=f"{spec.name}.selector")
     room: dict[str, int] = {}
     for host in hosts:
         labels = {**host.labels, "data-centre": host.data_centre, "rack": host.rack}
         if selector.matches(labels):
-            count = _how_many(spec, host)
+            count = _count_fitting(spec, host)
             room[host.data_centre] = room.get(host.data_centre, 0) + count
-    found = [Home(data_centre=name, room=count) for name, count in room.items()]
-    return tuple(sorted(found, key=lambda home: (-home.room, home.data_centre)))
+    found = [
+        DataCentreCapacity(data_centre=name, room=count) for name, count in room.items()
+    ]
+    return tuple(
+        sorted(found, key=lambda candidate: (-candidate.room, candidate.data_centre))
+    )
 
 
-def _how_many(spec: JobSpec, host: HostEntry) -> int:
+def _count_fitting(spec: JobSpec, host: HostEntry) -> int:
     needs, capacity = spec.needs, host.capacity
     counts = [capacity.processors // needs.processors]
     counts.append(capacity.memory_mb // needs.memory_mb)
@@ -67,8 +73,8 @@
     return min(counts)
 
 
-def split(
-    spec: JobSpec, found: tuple[Home, ...], default: str
+def assign_data_centres(
+    spec: JobSpec, found: tuple[DataCentreCapacity, ...], default: str
 ) -> dict[str, tuple[int, ...]]:
     """Give each task a home: gangs one for all, others by room.
 
@@ -80,15 +86,15 @@
     Returns:
         For each home, the numbers of the tasks that live there.
     """
-    able = [home for home in found if home.room > 0]
+    able = [candidate for candidate in found if candidate.room > 0]
     if not able:
         return {default: tuple(range(spec.tasks))}
     if spec.kind is Kind.GANG:
         return {able[0].data_centre: tuple(range(spec.tasks))}
-    parts: dict[str, list[int]] = {home.data_centre: [] for home in able}
+    parts: dict[str, list[int]] = {candidate.data_centre: [] for candidate in able}
     for index in range(spec.tasks):
-        home = min(able, key=lambda each: len(parts[each.data_centre]) / each.room)
-        parts[home.data_centre].append(index)
+        candidate = min(able, key=lambda each: len(parts[each.data_centre]) / each.room)
+        parts[candidate.data_centre].append(index)
     return {name: tuple(part) for name, part in parts.items() if part}
 
 
@@ -112,7 +118,9 @@
             TableUnavailable: Nothing was accepted.
         """
         listed = await self.platform.hosts()
-        parts = split(spec, homes(spec, listed.hosts), self.data_centre)
+        parts = assign_data_centres(
+            spec, matching_data_centres(spec, listed.hosts), self.data_centre
+        )
         change = secrets.token_hex(8)
         name = NameRow(submission=change, data_centres=tuple(sorted(parts)))
         puts = [Put(key=name_key(spec.name), value=codec.encode_text(name))]
@@ -121,8 +129,10 @@
             puts.append(_inbox_put(data_centre, entry))
         check = Check(key=name_key(spec.name), version=ABSENT)
         txn = Transaction(checks=(check,), puts=tuple(puts))
-        settled = Settled(table=self.platform, key=name_key(spec.name), change=change)
-        if not await settled.commit(txn):
+        verified_commit = VerifiedCommit(
+            table=self.platform, key=name_key(spec.name), change=change
+        )
+        if not await verified_commit.commit(txn):
             raise errors.ProblemError(
                 status=409, code=errors.DUPLICATE_NAME, kind="job", name=spec.name
             )
@@ -164,7 +174,7 @@
             TableUnavailable: Nothing was accepted.
         """
         entry = InboxEntry(id=secrets.token_hex(8), label=change)
-        return await self._to_worker_home(change.worker, entry)
+        return await self._write_for_worker(change.worker, entry)
 
     async def declare_dead(self, worker: str) -> Accepted:
         """Accept an operator's word that a worker is gone and runs nothing.
@@ -174,21 +184,21 @@
             TableUnavailable: Nothing was accepted.
         """
         entry = InboxEntry(id=secrets.token_hex(8), declare_dead=worker)
-        return await self._to_worker_home(worker, entry)
+        return await self._write_for_worker(worker, entry)
 
-    async def _to_worker_home(self, worker: str, entry: InboxEntry) -> Accepted:
+    async def _write_for_worker(self, worker: str, entry: InboxEntry) -> Accepted:
         listed = await self.platform.hosts()
-        home = next((h.data_centre for h in listed.hosts if h.name == worker), None)
-        if home is None:
+        target = next((h.data_centre for h in listed.hosts if h.name == worker), None)
+        if target is None:
             raise errors.ProblemError(
                 status=404, code=errors.UNKNOWN_NAME, kind="worker", name=worker
             )
-        await self._write(Transaction(puts=(_inbox_put(home, entry),)))
-        return Accepted(id=entry.id, data_centres=(home,))
+        await self._write(Transaction(puts=(_inbox_put(target, entry),)))
+        return Accepted(id=entry.id, data_centres=(target,))
 
     async def _write(self, txn: Transaction) -> None:
         """Write changes that may be carried out twice without harm."""
-        for _ in range(SETTLE_TRIES):
+        for _ in range(COMMIT_ATTEMPTS):
             try:
                 await self.platform.commit(txn)
                 return
@@ -198,7 +208,7 @@
             status=504,
             code=errors.OUTCOME_UNKNOWN,
             reason="the table gave no answer; asking again is safe",
-            retry_after_s=RETRY_S,
+            retry_after_s=RETRY_AFTER_S,
         )
 
 
@@ -208,7 +218,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Settled:
+class VerifiedCommit:
     """A commit whose lost reply is settled by a row that names the change."""
 
     table: Table
@@ -221,20 +231,20 @@
         Raises:
             ProblemError: It is unknown whether it did (504).
         """
-        for _ in range(SETTLE_TRIES):
+        for _ in range(COMMIT_ATTEMPTS):
             try:
                 reply = await self.table.commit(txn)
-                return reply.committed or await self._took_effect()
+                return reply.committed or await self._is_committed()
             except errors.TableUnavailable:
                 continue
         raise errors.ProblemError(
             status=504,
             code=errors.OUTCOME_UNKNOWN,
             reason="the table gave no answer; ask for the job's status",
-            retry_after_s=RETRY_S,
+            retry_after_s=RETRY_AFTER_S,
         )
 
-    async def _took_effect(self) -> bool:
+    async def _is_committed(self) -> bool:
         rows = await self.table.read(keys=(self.key,))
         if not rows:
             return False
--- a/cranberrycleat/admission.py
+++ b/cranberrycleat/admission.py
@@ -20,8 +20,8 @@
 from cranberrycleat.clock import Clock
 from cranberrycleat.endpoints import EndpointState, ServiceEndpoints
 
-LEAST_RETRY_S: Final = 1.0
-PACE_SMOOTHING: Final = 0.05
+MIN_RETRY_AFTER_S: Final = 1.0
+INTERVAL_SMOOTHING: Final = 0.05
 
 
 class RequestClass(enum.IntEnum):
@@ -32,7 +32,7 @@
     BULK = 2
 
 
-Pick = Callable[[frozenset[str]], EndpointState | None]
+PickEndpoint = Callable[[frozenset[str]], EndpointState | None]
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -45,7 +45,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Gate:
+class AdmissionController:
     """The way in to one service.
 
     Attributes:
@@ -53,11 +53,11 @@
         most: How many requests may wait.
     """
 
-    pick: Pick
-    most: int
+    pick: PickEndpoint
+    max_waiters: int
     clock: Clock
-    _leave_s: float = 0.0
-    _left_at: float = math.inf
+    _release_interval_s: float = 0.0
+    _last_release_at: float = math.inf
     _queues: dict[RequestClass, deque[Waiter]] = attrs.field(
         factory=lambda: {rank: deque() for rank in RequestClass}
     )
@@ -66,7 +66,7 @@
         """Return how many requests wait."""
         return sum(len(queue) for queue in self._queues.values())
 
-    async def enter(
+    async def acquire_slot(
         self,
         *,
         service: ServiceEndpoints,
@@ -85,32 +85,34 @@
         Raises:
             ProblemError: Refused, not run, with when to come back.
         """
-        if not self._ahead(rank):
+        if not self._count_ahead(rank):
             state = self.pick(tried)
             if state is not None:
                 state.share.in_flight += 1
                 return state
         expected = self._expected_wait_s(service, rank)
-        if expected > wait_s or not self._make_room(rank):
+        if expected > wait_s or not self._ensure_queue_space(rank):
             raise _overloaded(expected)
         return await self._wait(rank, tried, wait_s, expected)
 
-    def leave(self, state: EndpointState) -> None:
+    def release_slot(self, state: EndpointState) -> None:
         """Give a slot back and let the next request have it."""
         state.share.in_flight -= 1
-        self._note_pace()
+        self._update_release_interval()
         self.admit_waiting()
 
-    def _note_pace(self) -> None:
+    def _update_release_interval(self) -> None:
         """Learn how fast slots come free while requests wait for them."""
         now = self.clock.now()
         if not self.waiting():
-            self._left_at = math.inf
+            self._last_release_at = math.inf
             return
-        if now >= self._left_at:
-            gap = now - self._left_at
-            self._leave_s += PACE_SMOOTHING * (gap - self._leave_s)
-        self._left_at = now
+        if now >= self._last_release_at:
+            gap = now - self._last_release_at
+            self._release_interval_s += INTERVAL_SMOOTHING * (
+                gap - self._release_interval_s
+            )
+        self._last_release_at = now
 
     def admit_waiting(self) -> None:
         """Give free slots to those that wait, the highest class first."""
@@ -127,18 +129,18 @@
                 state.share.in_flight += 1
                 waiter.slot.set_result(state)
 
-    def _ahead(self, rank: RequestClass) -> int:
+    def _count_ahead(self, rank: RequestClass) -> int:
         """Count those who wait and go before a new request of this class."""
         return sum(len(q) for each, q in self._queues.items() if each <= rank)
 
     def _expected_wait_s(self, service: ServiceEndpoints, rank: RequestClass) -> float:
         """Say how long it would wait, by the pace seen and by the slots there are."""
         by_slots = service.took_s / max(1, service.capacity())
-        return (self._ahead(rank) + 1) * max(by_slots, self._leave_s)
+        return (self._count_ahead(rank) + 1) * max(by_slots, self._release_interval_s)
 
-    def _make_room(self, rank: RequestClass) -> bool:
+    def _ensure_queue_space(self, rank: RequestClass) -> bool:
         """Let one more wait, if need be by refusing one of a lower class."""
-        if self.waiting() < self.most:
+        if self.waiting() < self.max_waiters:
             return True
         for lower in reversed(RequestClass):
             if lower <= rank:
@@ -146,7 +148,7 @@
             if self._queues[lower]:
                 waiter = self._queues[lower].pop()
                 if not waiter.slot.done():
-                    waiter.slot.set_exception(_overloaded(LEAST_RETRY_S))
+                    waiter.slot.set_exception(_overloaded(MIN_RETRY_AFTER_S))
                 return True
         return False
 
@@ -161,14 +163,14 @@
         waiter = Waiter(rank=rank, tried=tried, slot=loop.create_future())
         queue = self._queues[rank]
         queue.append(waiter)
-        timer = loop.call_later(wait_s, _give_up, waiter, queue, expected_s)
+        timer = loop.call_later(wait_s, _time_out, waiter, queue, expected_s)
         try:
             return await waiter.slot
         finally:
             timer.cancel()
-            self._returned(waiter)
+            self._return_if_cancelled(waiter)
 
-    def _returned(self, waiter: Waiter) -> None:
+    def _return_if_cancelled(self, waiter: Waiter) -> None:
         """A request that was cancelled as it got its slot gives it back."""
         task = asyncio.current_task()
         cancelled = task is not None and task.cancelling()
@@ -176,10 +178,10 @@
             return
         if waiter.slot.done() and not waiter.slot.cancelled():
             if waiter.slot.exception() is None:
-                self.leave(waiter.slot.result())
+                self.release_slot(waiter.slot.result())
 
 
-def _give_up(waiter: Waiter, queue: deque[Waiter], expected_s: float) -> None:
+def _time_out(waiter: Waiter, queue: deque[Waiter], expected_s: float) -> None:
     if not waiter.slot.done():
         waiter.slot.set_exception(_overloaded(expected_s))
         if waiter in queue:
@@ -190,5 +192,5 @@
     return errors.ProblemError(
         status=503,
         code=errors.OVERLOADED,
-        retry_after_s=max(LEAST_RETRY_S, expected_s),
+        retry_after_s=max(MIN_RETRY_AFTER_S, expected_s),
     )
--- a/cranberrycleat/amounts.py
+++ b/cranberrycleat/amounts.py
@@ -60,7 +60,7 @@
             and self.slots <= free.slots
         )
 
-    def larger(self, other: "Amounts") -> "Amounts":
+    def elementwise_max(self, other: "Amounts") -> "Amounts":
         """Return the larger of each part."""
         return Amounts(
             processors=max(self.processors, other.processors),
--- a/cranberrycleat/asgi.py
+++ b/cranberrycleat/asgi.py
@@ -11,7 +11,7 @@
 
 from cranberrycleat import codec, errors
 
-MOST_BODY: Final = 4 * 1024 * 1024
+MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 OK: Final = 200
 NOT_FOUND: Final = 404
 BAD_REQUEST: Final = 400
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Fault:
+class ErrorBody:
     """The body of an answer to a request that cannot be served."""
 
     reason: str
@@ -37,7 +37,7 @@
 Handler = Callable[[bytes], Awaitable[Answer]]
 
 
-async def read_body(receive: Any, *, most: int = MOST_BODY) -> bytes | None:
+async def read_body(receive: Any, *, max_bytes: int = MAX_BODY_BYTES) -> bytes | None:
     """Return a request's whole body, or None if it is too large."""
     parts: list[bytes] = []
     size = 0
@@ -47,10 +47,10 @@
             return b"".join(parts)
         part = message.get("body", b"")
         size += len(part)
-        if size <= most:
+        if size <= max_bytes:
             parts.append(part)
         if not message.get("more_body"):
-            return b"".join(parts) if size <= most else None
+            return b"".join(parts) if size <= max_bytes else None
 
 
 async def send_answer(send: Any, answer: Answer) -> None:
@@ -72,7 +72,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Calls:
+class RpcApp:
     """An ASGI app of fixed calls, each with one message in and one out.
 
     Attributes:
@@ -91,10 +91,10 @@
     async def _answer(self, path: str, body: bytes | None) -> Answer:
         handler = self.handlers.get(path)
         if handler is None:
-            return Answer(message=Fault(reason="no such call"), status=NOT_FOUND)
+            return Answer(message=ErrorBody(reason="no such call"), status=NOT_FOUND)
         if body is None:
-            return Answer(message=Fault(reason="too large"), status=BAD_REQUEST)
+            return Answer(message=ErrorBody(reason="too large"), status=BAD_REQUEST)
         try:
             return await handler(body)
         except errors.FindingsError as exc:
-            return Answer(message=Fault(reason=str(exc)), status=BAD_REQUEST)
+            return Answer(message=ErrorBody(reason=str(exc)), status=BAD_REQUEST)
--- a/cranberrycleat/audit.py
+++ b/cranberrycleat/audit.py
@@ -11,19 +11,19 @@
 import attrs
 
 from cranberrycleat import errors
-from cranberrycleat.caller import CallNote, Told
+from cranberrycleat.caller import CallOutcome, CallResult
 from cranberrycleat.standins.worker import WorkerRecord
 
-TWO_PLACES: Final = "two-places"
+OVERLAPPING_RUNS: Final = "two-places"
 OVER_CAPACITY: Final = "over-capacity"
 RAN_TWICE: Final = "ran-twice"
 RAN_AFTER_NOT_RUN: Final = "ran-after-not-run"
-NOT_OWN_ANSWER: Final = "not-own-answer"
+MISMATCHED_RESPONSE: Final = "not-own-answer"
 NO_RETRY_AFTER: Final = "no-retry-after"
 
 
 @attrs.frozen(kw_only=True, order=True)
-class Span:
+class TaskRun:
     """When one attempt of a task ran on one worker, on the shared clock."""
 
     began: float
@@ -33,7 +33,7 @@
 
 
 def audit(
-    records: Sequence[WorkerRecord], notes: Iterable[CallNote] = ()
+    records: Sequence[WorkerRecord], results: Iterable[CallResult] = ()
 ) -> tuple[errors.Finding, ...]:
     """Return every promise that was broken.
 
@@ -42,77 +42,87 @@
         notes: What callers were told.
     """
     found: list[errors.Finding] = []
-    found.extend(_capacity(records))
-    found.extend(_places(records))
-    found.extend(_calls(records, notes))
+    found.extend(_check_capacity(records))
+    found.extend(_check_overlaps(records))
+    found.extend(_check_calls(records, results))
     return tuple(sorted(set(found)))
 
 
-def _fault(place: str, code: str, message: str) -> errors.Finding:
+def _finding(place: str, code: str, message: str) -> errors.Finding:
     return errors.Finding(place=place, code=code, message=message)
 
 
-def _capacity(records: Sequence[WorkerRecord]) -> Iterable[errors.Finding]:
+def _check_capacity(records: Sequence[WorkerRecord]) -> Iterable[errors.Finding]:
     for record in records:
         if not record.most_used.fits_in(record.capacity):
-            yield _fault(record.worker, OVER_CAPACITY, f"used {record.most_used}")
+            yield _finding(
+                record.worker, OVER_CAPACITY, f"peak usage was {record.most_used}"
+            )
 
 
-def spans(records: Sequence[WorkerRecord]) -> dict[str, list[Span]]:
+def runs_by_task(records: Sequence[WorkerRecord]) -> dict[str, list[TaskRun]]:
     """Return when and where each task ran."""
-    found: dict[str, list[Span]] = {}
+    found: dict[str, list[TaskRun]] = {}
     for record in records:
-        open_at: dict[tuple[str, int], float] = {}
+        open_runs: dict[tuple[str, int], float] = {}
         for line in record.lines:
-            mark = (line.task, line.attempt)
+            attempt_key = (line.task, line.attempt)
             if line.event == "started":
-                open_at[mark] = line.at
-            elif mark in open_at:
-                span = _span(record, mark, open_at.pop(mark), line.at)
-                found.setdefault(line.task, []).append(span)
-        for mark, began in open_at.items():
-            span = _span(record, mark, began, math.inf)
-            found.setdefault(mark[0], []).append(span)
+                open_runs[attempt_key] = line.at
+            elif attempt_key in open_runs:
+                task_run = _task_run(
+                    record, attempt_key, open_runs.pop(attempt_key), line.at
+                )
+                found.setdefault(line.task, []).append(task_run)
+        for attempt_key, began in open_runs.items():
+            task_run = _task_run(record, attempt_key, began, math.inf)
+            found.setdefault(attempt_key[0], []).append(task_run)
     return found
 
 
-def _span(
-    record: WorkerRecord, mark: tuple[str, int], began: float, ended: float
-) -> Span:
-    return Span(began=began, ended=ended, worker=record.worker, attempt=mark[1])
+def _task_run(
+    record: WorkerRecord, attempt_key: tuple[str, int], began: float, ended: float
+) -> TaskRun:
+    return TaskRun(
+        began=began, ended=ended, worker=record.worker, attempt=attempt_key[1]
+    )
 
 
-def _places(records: Sequence[WorkerRecord]) -> Iterable[errors.Finding]:
-    for task, runs in spans(records).items():
+def _check_overlaps(records: Sequence[WorkerRecord]) -> Iterable[errors.Finding]:
+    for task, runs in runs_by_task(records).items():
         runs.sort()
-        for earlier, later in zip(runs, runs[1:]):
-            if later.began < earlier.ended:
-                where = f"{earlier.worker} and {later.worker}"
-                yield _fault(task, TWO_PLACES, f"ran at once on {where}")
+        for previous_run, next_run in zip(runs, runs[1:]):
+            if next_run.began < previous_run.ended:
+                worker_names = f"{previous_run.worker} and {next_run.worker}"
+                yield _finding(
+                    task, OVERLAPPING_RUNS, f"ran concurrently on {worker_names}"
+                )
 
 
-def _calls(
-    records: Sequence[WorkerRecord], notes: Iterable[CallNote]
+def _check_calls(
+    records: Sequence[WorkerRecord], results: Iterable[CallResult]
 ) -> Iterable[errors.Finding]:
-    ran: dict[str, int] = {}
+    run_counts: dict[str, int] = {}
     for record in records:
-        for log in record.requests:
-            ran[log.id] = ran.get(log.id, 0) + 1
-    by_key: dict[str, int] = {}
-    for note in notes:
-        yield from _call(note, ran.get(note.id, 0))
-        if note.key is not None:
-            by_key[note.key] = by_key.get(note.key, 0) + ran.get(note.id, 0)
-    for key, times in by_key.items():
-        if times > 1:
-            yield _fault(f"key {key}", RAN_TWICE, f"ran {times} times")
-
-
-def _call(note: CallNote, times: int) -> Iterable[errors.Finding]:
-    place = f"request {note.id}"
-    if note.told is Told.NOT_RUN and times:
-        yield _fault(place, RAN_AFTER_NOT_RUN, f"ran {times} times")
-    if not note.own:
-        yield _fault(place, NOT_OWN_ANSWER, "the answer was not this request's")
-    if note.status == 503 and not note.retry_after:
-        yield _fault(place, NO_RETRY_AFTER, "refused without saying when to return")
+        for request_log in record.requests:
+            run_counts[request_log.id] = run_counts.get(request_log.id, 0) + 1
+    run_counts_by_key: dict[str, int] = {}
+    for result in results:
+        yield from _check_call(result, run_counts.get(result.id, 0))
+        if result.key is not None:
+            run_counts_by_key[result.key] = run_counts_by_key.get(
+                result.key, 0
+            ) + run_counts.get(result.id, 0)
+    for key, run_count in run_counts_by_key.items():
+        if run_count > 1:
+            yield _finding(f"key {key}", RAN_TWICE, f"ran {run_count} times")
+
+
+def _check_call(result: CallResult, run_count: int) -> Iterable[errors.Finding]:
+    place = f"request {result.id}"
+    if result.reported_outcome is CallOutcome.NOT_RUN and run_count:
+        yield _finding(place, RAN_AFTER_NOT_RUN, f"ran {run_count} times")
+    if not result.response_matches:
+        yield _finding(place, MISMATCHED_RESPONSE, "the answer was not this request's")
+    if result.status == 503 and not result.retry_after:
+        yield _finding(place, NO_RETRY_AFTER, "refused without saying when to return")
--- a/cranberrycleat/bench/control.py
+++ b/cranberrycleat/bench/control.py
@@ -22,7 +22,7 @@
 from cranberrycleat.http_calls import make_client
 from cranberrycleat.http_server import HttpServer
 from cranberrycleat.jobs import JobSpec, Kind, Program
-from cranberrycleat.messages import Endpoint, HostEntry, SeenSet, SyncOrder
+from cranberrycleat.messages import Endpoint, EndpointSetVersion, HostEntry, SyncOrder
 from cranberrycleat.standins.platform import PlatformStandin
 from cranberrycleat.standins.worker import WorkerStandin
 from cranberrycleat.table_http import HttpPlatform
@@ -38,7 +38,7 @@
 SIZES: Final = (104, SHARD_WORKERS)
 HEAD_BYTES: Final = 180
 """Request line, status line and header lines that the server adds itself."""
-PAGE: Final = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES: Final = os.sysconf("SC_PAGE_SIZE")
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -65,7 +65,7 @@
             more = event.get("more_body", False)
         name = scope["path"].split("/")[1]
         order = codec.decode(body, SyncOrder)
-        answer = codec.encode(self.workers[name].obey(order))
+        answer = codec.encode(self.workers[name].apply_orders(order))
         self.syncs += 1
         head = sum(len(k) + len(v) + 4 for k, v in scope["headers"])
         self.bytes += len(body) + len(answer) + head + HEAD_BYTES
@@ -171,7 +171,7 @@
         for number in range(size):
             self._add_worker(platform, fakes, server.url, number)
         owner = self._start("scheduler", "s1", platform.url)
-        await self._settle(platform, fakes, size)
+        await self._wait_until_running(platform, fakes, size)
         counts = platform.table.counts
         before = (counts.reads, counts.writes, fakes.bytes, owner.cpu_s())
         await asyncio.sleep(self.seconds)
@@ -228,7 +228,7 @@
         )
         platform.listed[name] = entry
 
-    async def _settle(
+    async def _wait_until_running(
         self, platform: PlatformStandin, fakes: FakeWorkers, size: int
     ) -> None:
         """Submit the services and wait until all of them run."""
@@ -252,7 +252,7 @@
     async def _gateway(self, peers: int) -> ControlFigures:
         platform = PlatformStandin(host=LOOPBACK, port=0)
         await platform.start()
-        hub = FullHub()
+        hub = FullSizeHub()
         url = await hub.start()
         hub.list(tuple(f"http://{LOOPBACK}:9/task/{n}" for n in range(ENDPOINTS_FULL)))
         gateway = self._start("gateway", "g1", platform.url, ",".join([url] * peers))
@@ -276,11 +276,11 @@
 
     async def _digest_bytes(self, url: str) -> float:
         """Return the bytes of one digest and its answer, nothing being new."""
-        known = (SeenSet(data_centre="dc", epoch=1, revision=1),)
+        known = (EndpointSetVersion(data_centre="dc", epoch=1, revision=1),)
         digest = attrs.evolve(Hub().own_digest(), role="gateway", seen=known)
         async with make_client(timeout_s=5) as client:
             sent = codec.encode(digest)
-            res = await client.exchange("POST", url + "/v1/digest", sent, None)
+            res = await client.send_request("POST", url + "/v1/digest", sent, None)
             return len(sent) + len(res.content) + 2 * HEAD_BYTES
 
     def _start(self, role: str, name: str, platform: str, peers: str = "") -> Router:
@@ -298,7 +298,7 @@
         return Router(process=process, url=url)
 
 
-class FullHub(Hub):
+class FullSizeHub(Hub):
     """A hub whose endpoints are as many as those of a full data centre."""
 
     def endpoint(self, url: str) -> Endpoint:
@@ -311,7 +311,7 @@
     """Return a process's resident memory, in mebibytes."""
     with open(f"/proc/{router.process.pid}/statm", encoding="ascii") as file:
         pages = int(file.read().split()[1])
-    return round(pages * PAGE / (1024 * 1024), 1)
+    return round(pages * PAGE_BYTES / (1024 * 1024), 1)
 
 
 def _summary(
--- a/cranberrycleat/bench/load.py
+++ b/cranberrycleat/bench/load.py
@@ -14,8 +14,8 @@
 from cranberrycleat import codec
 from cranberrycleat.http_calls import tls_context
 
-POOLS: Final = 32
-REFUSALS: Final = frozenset({429, 503, 504})
+CONNECTION_POOLS: Final = 32
+REJECTION_STATUSES: Final = frozenset({429, 503, 504})
 
 
 @attrs.frozen(kw_only=True)
@@ -71,7 +71,7 @@
     # connections, and the callers must not be what is measured.
     pools = [
         httpx.AsyncHTTPTransport(limits=limits, verify=tls_context())
-        for _ in range(POOLS)
+        for _ in range(CONNECTION_POOLS)
     ]
     loop = asyncio.get_running_loop()
     calls: set[asyncio.Task[None]] = set()
@@ -80,7 +80,7 @@
     while next_at < end:
         await asyncio.sleep(max(0.0, next_at - loop.time()))
         call = asyncio.create_task(
-            _one_call(pools[result.offered % POOLS], plan, result, rng, end)
+            _one_call(pools[result.offered % CONNECTION_POOLS], plan, result, rng, end)
         )
         calls.add(call)
         call.add_done_callback(calls.discard)
@@ -118,7 +118,7 @@
         result.good += 1
         result.good_in_time += loop.time() <= end
         result.good_s.append(took)
-    elif res.status_code in REFUSALS:
+    elif res.status_code in REJECTION_STATUSES:
         result.refused += 1
         result.refused_s.append(took)
         result.no_retry_after += "retry-after" not in res.headers
--- a/cranberrycleat/bench/parts.py
+++ b/cranberrycleat/bench/parts.py
@@ -80,11 +80,11 @@
             return
         self.in_flight += 1
         try:
-            await self._work(send)
+            await self._handle_request(send)
         finally:
             self.in_flight -= 1
 
-    async def _work(self, send: Any) -> None:
+    async def _handle_request(self, send: Any) -> None:
         if self.rng.random() < self.kind.fail_share:
             await self._answer(send, 500, b"failed")
             return
@@ -126,7 +126,7 @@
 
 async def run_naive(urls: tuple[str, ...]) -> None:
     """Serve the baseline until the process is ended; prints its URL."""
-    turns = itertools.cycle(urls)
+    targets = itertools.cycle(urls)
     client = httpx.AsyncClient(
         timeout=1.0,
         trust_env=False,
@@ -136,13 +136,13 @@
     async def attempt(request: Request[Any, Any, Any], body: bytes) -> httpx.Response:
         return await client.request(
             request.method,
-            next(turns) + "/" + request.path_params["rest"].lstrip("/"),
+            next(targets) + "/" + request.path_params["rest"].lstrip("/"),
             headers={"x-request-id": request.headers.get("x-request-id", "")},
             content=body or None,
         )
 
     @route("/call/s/{rest:path}", http_method=["GET", "POST"])
-    async def pass_on(request: Request[Any, Any, Any]) -> Response[bytes]:
+    async def forward(request: Request[Any, Any, Any]) -> Response[bytes]:
         body = await request.body()
         for _ in range(NAIVE_RETRIES + 1):
             try:
@@ -153,7 +153,7 @@
                 return Response(res.content, status_code=res.status_code)
         return Response(b"failed", status_code=502)
 
-    server = HttpServer(app=make_app([pass_on]), host=LOOPBACK, port=0)
+    server = HttpServer(app=make_app([forward]), host=LOOPBACK, port=0)
     await server.start()
     print(server.url, flush=True)
     await asyncio.Event().wait()
--- a/cranberrycleat/bench/placement.py
+++ b/cranberrycleat/bench/placement.py
@@ -16,14 +16,19 @@
 from cranberrycleat import plugins
 from cranberrycleat.amounts import MILLI, NOTHING, Amounts
 from cranberrycleat.bench.policies import ShortestFirst, baseline
-from cranberrycleat.bench.run import BenchRun, RunFigures, make_book
-from cranberrycleat.bench.workload import BadDay, BenchCell, BenchJob, WorkloadMaker
-from cranberrycleat.book import CapacityBook
+from cranberrycleat.bench.run import BenchRun, RunFigures, make_inventory
+from cranberrycleat.bench.workload import (
+    BenchCell,
+    BenchJob,
+    Disturbances,
+    WorkloadMaker,
+)
+from cranberrycleat.inventory import WorkerInventory
 from cranberrycleat.jobs import JobRow, JobSpec, Kind, TaskRecord, TaskState
 from cranberrycleat.logs import part_logger
 from cranberrycleat.messages import HostEntry
-from cranberrycleat.placement import Ask
-from cranberrycleat.rounds import WEIGHTS, Plan, RoundPlanner, Weights
+from cranberrycleat.placement import PlacementRequest
+from cranberrycleat.rounds import PLANNER_PROFILES, Plan, PlannerProfile, RoundPlanner
 from cranberrycleat.shard import Shard
 
 assert plugins
@@ -34,7 +39,7 @@
 BASELINES: Final = ("best-fit", "first-fit", "random", "fifo")
 STATE_WORKERS: Final = 208
 STATE_TASKS: Final = 3328
-FULL: Final = "full size"
+FULL_SIZE: Final = "full size"
 QUICK_ARRIVALS_S: Final = 20.0
 
 CELLS: Final = (
@@ -65,7 +70,7 @@
         services=650,
     ),
     BenchCell(
-        name=FULL,
+        name=FULL_SIZE,
         workers=2500,
         rack_size=8,
         processors=28,
@@ -78,13 +83,13 @@
     ),
 )
 
-BAD_DAYS: Final = {
-    "sizes wrong": BadDay(wrong_sizes=True),
-    "a tenth never runs": BadDay(never_share=0.1),
-    "a third is cancelled": BadDay(cancel_share=0.34),
-    "workers that fail everything": BadDay(failing_workers=5),
-    "a rack is lost": BadDay(rack_lost=True),
-    "all of it": BadDay(
+DISTURBED_CASES: Final = {
+    "sizes wrong": Disturbances(wrong_sizes=True),
+    "a tenth never runs": Disturbances(never_share=0.1),
+    "a third is cancelled": Disturbances(cancel_share=0.34),
+    "workers that fail everything": Disturbances(failing_workers=5),
+    "a rack is lost": Disturbances(rack_lost=True),
+    "all of it": Disturbances(
         wrong_sizes=True,
         never_share=0.1,
         cancel_share=0.34,
@@ -104,10 +109,12 @@
 
     decision_s: list[float] = attrs.field(factory=list)
 
-    def decide(self, ask: Ask, racks: dict[str, int], now: float) -> Plan:
+    def plan_job(
+        self, request: PlacementRequest, racks: dict[str, int], now: float
+    ) -> Plan:
         """Decide about one job, and note how long it took."""
         began = time.perf_counter()
-        plan = super().decide(ask, racks, now)
+        plan = super().plan_job(request, racks, now)
         if now > 0.0:
             self.decision_s.append(time.perf_counter() - began)
         return plan
@@ -156,71 +163,95 @@
     cases = []
     for cell in CELLS:
         names: tuple[str, ...] = BASELINES
-        if quick and cell.name == FULL:
+        if quick and cell.name == FULL_SIZE:
             names = ("best-fit",)
             cell = attrs.evolve(cell, arrivals_s=QUICK_ARRIVALS_S)
-        cases.append(_case(cell, BadDay(), seed, names, cell.name))
-    bad_cell = CELLS[2]
-    for name, bad in () if quick else BAD_DAYS.items():
-        cases.append(_case(bad_cell, bad, seed, ("best-fit",), name))
-    full = next(case for case in cases if case.case == FULL)
+        cases.append(_run_case(cell, Disturbances(), seed, names, cell.name))
+    disturbed_cell = CELLS[2]
+    for name, disturbances in () if quick else DISTURBED_CASES.items():
+        cases.append(_run_case(disturbed_cell, disturbances, seed, ("best-fit",), name))
+    full = next(case for case in cases if case.case == FULL_SIZE)
     summary = _summary(full, *state_bytes())
     return PlacementReport(seed=seed, summary=summary, cases=tuple(cases))
 
 
-def _case(
-    cell: BenchCell, bad: BadDay, seed: int, names: tuple[str, ...], title: str
+def _run_case(
+    cell: BenchCell,
+    disturbances: Disturbances,
+    seed: int,
+    names: tuple[str, ...],
+    title: str,
 ) -> CaseReport:
-    jobs = WorkloadMaker(cell=cell, bad=bad, rng=random.Random(seed)).make()
+    jobs = WorkloadMaker(
+        cell=cell, disturbances=disturbances, rng=random.Random(seed)
+    ).make()
     LOG.info("%s: %d jobs", title, len(jobs))
-    rows = [_ours(cell, bad, jobs, "waiting", OURS)]
-    if cell.name != FULL:
-        rows.append(_ours(cell, bad, jobs, "packing", PACKING))
-    rows += [_baseline(cell, bad, jobs, name) for name in names]
-    rows.append(_bound(cell, bad, jobs))
+    rows = [_run_ours(cell, disturbances, jobs, "waiting", OURS)]
+    if cell.name != FULL_SIZE:
+        rows.append(_run_ours(cell, disturbances, jobs, "packing", PACKING))
+    rows += [_run_baseline(cell, disturbances, jobs, name) for name in names]
+    rows.append(_run_bound(cell, disturbances, jobs))
     tasks = sum(job.count for job in jobs)
     return CaseReport(case=title, tasks=tasks, rows=tuple(rows))
 
 
-def _ours(
-    cell: BenchCell, bad: BadDay, jobs: list[BenchJob], weight: str, name: str
+def _run_ours(
+    cell: BenchCell,
+    disturbances: Disturbances,
+    jobs: list[BenchJob],
+    weight: str,
+    name: str,
 ) -> RunFigures:
-    book = make_book(cell, pooled=False)
-    planner = TimedPlanner(book=book, whole=_whole(book), weights=WEIGHTS[weight])
-    return _run(name, cell, bad, jobs, planner, WEIGHTS[weight].round_s)
+    inventory = make_inventory(cell, pooled=False)
+    planner = TimedPlanner(
+        inventory=inventory,
+        total_capacity=_total_capacity(inventory),
+        profile=PLANNER_PROFILES[weight],
+    )
+    return _run_policy(
+        name, cell, disturbances, jobs, planner, PLANNER_PROFILES[weight].round_s
+    )
 
 
-def _baseline(
-    cell: BenchCell, bad: BadDay, jobs: list[BenchJob], name: str
+def _run_baseline(
+    cell: BenchCell, disturbances: Disturbances, jobs: list[BenchJob], name: str
 ) -> RunFigures:
-    planner = baseline(name, make_book(cell, pooled=False))
-    return _run(name, cell, bad, jobs, planner, WEIGHTS["waiting"].round_s)
+    planner = baseline(name, make_inventory(cell, pooled=False))
+    return _run_policy(
+        name, cell, disturbances, jobs, planner, PLANNER_PROFILES["waiting"].round_s
+    )
 
 
-def _bound(cell: BenchCell, bad: BadDay, jobs: list[BenchJob]) -> RunFigures:
+def _run_bound(
+    cell: BenchCell, disturbances: Disturbances, jobs: list[BenchJob]
+) -> RunFigures:
     """The bound meets the good day: nothing wrong, nothing failing."""
-    book = make_book(cell, pooled=True)
-    weights = Weights(preempts=False, reserve_after_s=math.inf)
-    planner = ShortestFirst(book=book, whole=_whole(book), weights=weights)
-    good = BadDay(never_share=bad.never_share, cancel_share=bad.cancel_share)
+    inventory = make_inventory(cell, pooled=True)
+    profile = PlannerProfile(preempts=False, reserve_after_s=math.inf)
+    planner = ShortestFirst(
+        inventory=inventory, total_capacity=_total_capacity(inventory), profile=profile
+    )
+    good = Disturbances(
+        never_share=disturbances.never_share, cancel_share=disturbances.cancel_share
+    )
     run = BenchRun(
         policy=BOUND,
         cell=cell,
-        bad=good,
-        jobs=[_relaxed(job) for job in jobs if _could_run(job, cell)],
+        disturbances=good,
+        jobs=[_relax(job) for job in jobs if _fits_some_worker(job, cell)],
         planner=planner,
-        round_s=WEIGHTS["waiting"].round_s,
+        round_s=PLANNER_PROFILES["waiting"].round_s,
         pooled=True,
     )
     return run.run()
 
 
-def _could_run(job: BenchJob, cell: BenchCell) -> bool:
+def _fits_some_worker(job: BenchJob, cell: BenchCell) -> bool:
     """Tell whether some worker is large enough; the pooled one always is."""
     return job.needs.processors <= cell.processors * MILLI
 
 
-def _relaxed(job: BenchJob) -> BenchJob:
+def _relax(job: BenchJob) -> BenchJob:
     """Ask for processors only, task by task: no gangs, memory, accelerators."""
     needs = Amounts(processors=job.needs.processors)
     return attrs.evolve(job, kind=Kind.BATCH, needs=needs, selector="")
@@ -229,26 +260,31 @@
 LOG: Final = part_logger("bench")
 
 
-def _run(
+def _run_policy(
     name: str,
     cell: BenchCell,
-    bad: BadDay,
+    disturbances: Disturbances,
     jobs: list[BenchJob],
     planner: RoundPlanner,
     round_s: float,
 ) -> RunFigures:
     LOG.info("%s", name)
     run = BenchRun(
-        policy=name, cell=cell, bad=bad, jobs=jobs, planner=planner, round_s=round_s
+        policy=name,
+        cell=cell,
+        disturbances=disturbances,
+        jobs=jobs,
+        planner=planner,
+        round_s=round_s,
     )
     return run.run()
 
 
-def _whole(book: CapacityBook) -> Amounts:
-    whole = NOTHING
-    for worker in book.workers.values():
-        whole = whole.plus(worker.capacity)
-    return whole
+def _total_capacity(inventory: WorkerInventory) -> Amounts:
+    total_capacity = NOTHING
+    for worker in inventory.workers.values():
+        total_capacity = total_capacity.plus(worker.capacity)
+    return total_capacity
 
 
 def _summary(
@@ -273,7 +309,7 @@
     tracemalloc.start()
     shard = Shard(data_centre="dc")
     before = tracemalloc.get_traced_memory()[0]
-    shard.learn_hosts(_host(number) for number in range(STATE_WORKERS))
+    shard.update_hosts(_host(number) for number in range(STATE_WORKERS))
     after_workers = tracemalloc.get_traced_memory()[0]
     for number in range(0, STATE_TASKS, 8):
         shard._load_job(_running_job(number))
--- a/cranberrycleat/bench/policies.py
+++ b/cranberrycleat/bench/policies.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from cranberrycleat.book import BookWorker, CapacityBook
+from cranberrycleat.inventory import InventoryWorker, WorkerInventory
 from cranberrycleat.jobs import Kind
-from cranberrycleat.placement import Ask, Assignment
+from cranberrycleat.placement import Assignment, PlacementRequest
 from cranberrycleat.rounds import Plan, RoundPlanner
 
 
@@ -29,56 +29,60 @@
         rng: Where chance comes from.
     """
 
-    pick: str
+    strategy: str
     strict: bool = False
     rng: random.Random = attrs.field(factory=lambda: random.Random(1))
 
     def plan(
         self,
-        asks: list[Ask],
+        requests: list[PlacementRequest],
         racks: dict[str, dict[str, int]] | None = None,
         *,
         now: float = 0.0,
     ) -> Plan:
         """Plan one round."""
-        self.book.begin_round(now)
-        self._blocked.clear()
-        made: list[Assignment] = []
-        order = asks if self.strict else sorted(asks, key=lambda ask: ask.rank)
-        for ask in order:
-            placed = self._try(ask)
-            made.extend(placed)
-            if self.strict and len(placed) < len(ask.tasks):
+        self.inventory.begin_round(now)
+        self._unfit.clear()
+        new_assignments: list[Assignment] = []
+        order = (
+            requests
+            if self.strict
+            else sorted(requests, key=lambda request: request.rank)
+        )
+        for request in order:
+            placed = self._try(request)
+            new_assignments.extend(placed)
+            if self.strict and len(placed) < len(request.tasks):
                 break
-        return Plan(assignments=tuple(made), refusals=())
-
-    def _try(self, ask: Ask) -> list[Assignment]:
-        made: list[Assignment] = []
-        if self._is_blocked(ask, math.inf):
-            return made
-        for task in ask.tasks:
-            worker = self._choose(ask)
+        return Plan(assignments=tuple(new_assignments), unplaced=())
+
+    def _try(self, request: PlacementRequest) -> list[Assignment]:
+        new_assignments: list[Assignment] = []
+        if self._known_unfit(request, math.inf):
+            return new_assignments
+        for task in request.tasks:
+            worker = self._select_worker(request)
             if worker is None:
-                self._note_blocked(ask)
+                self._record_unfit(request)
                 break
-            self.book.reserve(worker.name, task, ask.needs)
-            made.append(Assignment(task=task, worker=worker.name))
-        if ask.kind is Kind.GANG and len(made) < len(ask.tasks):
-            for each in made:
-                self.book.release(each.worker, each.task)
+            self.inventory.allocate(worker.name, task, request.needs)
+            new_assignments.append(Assignment(task=task, worker=worker.name))
+        if request.kind is Kind.GANG and len(new_assignments) < len(request.tasks):
+            for each in new_assignments:
+                self.inventory.release(each.worker, each.task)
             return []
-        return made
+        return new_assignments
 
-    def _choose(self, ask: Ask) -> BookWorker | None:
-        pool = self.book.pool(ask.selector)
-        if self.pick == "best":
-            return pool.tightest(ask.needs)
+    def _select_worker(self, request: PlacementRequest) -> InventoryWorker | None:
+        pool = self.inventory.pool(request.selector)
+        if self.strategy == "best":
+            return pool.best_fit(request.needs)
         members = list(pool.members.values())
-        if self.pick == "random":
+        if self.strategy == "random":
             start = self.rng.randrange(len(members)) if members else 0
             members = members[start:] + members[:start]
         for worker in members:
-            if worker.may_draw() and ask.needs.fits_in(worker.free):
+            if worker.may_accept_work() and request.needs.fits_in(worker.free):
                 return worker
         return None
 
@@ -87,21 +91,23 @@
 class ShortestFirst(RoundPlanner):
     """The planner of the bound: by priority, then the least work a task."""
 
-    def _sorted(self, asks: list[Ask], now: float) -> list[Ask]:
-        def work(ask: Ask) -> tuple[int, float]:
-            return (ask.rank, ask.run_s * ask.needs.processors)
+    def _sorted(
+        self, requests: list[PlacementRequest], now: float
+    ) -> list[PlacementRequest]:
+        def sort_key(request: PlacementRequest) -> tuple[int, float]:
+            return (request.rank, request.run_s * request.needs.processors)
 
-        return sorted(asks, key=work)
+        return sorted(requests, key=sort_key)
 
 
-def baseline(name: str, book: CapacityBook) -> RoundPlanner:
+def baseline(name: str, inventory: WorkerInventory) -> RoundPlanner:
     """Return a baseline by its name."""
     match name:
         case "first-fit":
-            return BaselinePlanner(book=book, pick="first")
+            return BaselinePlanner(inventory=inventory, strategy="first")
         case "random":
-            return BaselinePlanner(book=book, pick="random")
+            return BaselinePlanner(inventory=inventory, strategy="random")
         case "fifo":
-            return BaselinePlanner(book=book, pick="best", strict=True)
+            return BaselinePlanner(inventory=inventory, strategy="best", strict=True)
         case _:
-            return BaselinePlanner(book=book, pick="best")
+            return BaselinePlanner(inventory=inventory, strategy="best")
--- a/cranberrycleat/bench/routing.py
+++ b/cranberrycleat/bench/routing.py
@@ -26,17 +26,17 @@
 from cranberrycleat.serve import json_response, make_app
 from cranberrycleat.standins.platform import PlatformStandin
 
-ANSWER_S: Final = 0.2
-SLOW_S: Final = 1.0
-GOOD: Final = 4
-FAIL_SHARE: Final = 0.5
+GOOD_ANSWER_S: Final = 0.2
+SLOW_ANSWER_S: Final = 1.0
+GOOD_ENDPOINTS: Final = 4
+FAILING_SHARE: Final = 0.5
 GATEWAYS: Final = 3
-HEALTHY: Final = 4
+UNLOADED_ENDPOINTS: Final = 4
 """Endpoints of each side in the unloaded phase."""
 LOADS: Final = (0.5, 1.0, 2.0, 4.0)
-WARM_S: Final = 1.2
+WARM_UP_S: Final = 1.2
 """Longer than the time between two digests."""
-CLOCK_TICK: Final = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
 
 
 def capacity() -> float:
@@ -44,8 +44,13 @@
 
     The failing endpoint gives half, and so does the one that dies half way.
     """
-    whole = SLOTS / ANSWER_S
-    return whole * GOOD + SLOTS / SLOW_S + whole * FAIL_SHARE + whole / 2
+    whole = SLOTS / GOOD_ANSWER_S
+    return (
+        whole * GOOD_ENDPOINTS
+        + SLOTS / SLOW_ANSWER_S
+        + whole * FAILING_SHARE
+        + whole / 2
+    )
 
 
 @attrs.frozen(kw_only=True)
@@ -203,52 +208,72 @@
         await self.platform.start()
         hub_url = await self.hub.start()
         try:
-            return await self._phases(hub_url)
+            return await self._run_phases(hub_url)
         finally:
             for process in self.started:
                 process.kill()
                 process.wait()
             await self.platform.stop()
 
-    async def _phases(self, hub_url: str) -> RoutingReport:
-        stage = self._set_stage(hub_url)
-        self.hub.list(stage.healthy[:HEALTHY])
-        await asyncio.sleep(WARM_S)
+    async def _run_phases(self, hub_url: str) -> RoutingReport:
+        processes = self._start_processes(hub_url)
+        self.hub.list(processes.healthy[:UNLOADED_ENDPOINTS])
+        await asyncio.sleep(WARM_UP_S)
         unloaded = await asyncio.gather(
-            self._phase(stage.gateways, 0.0, stage.healthy[:HEALTHY], None),
-            self._phase(stage.idle_naives, 0.0, stage.healthy[HEALTHY:], None),
+            self._run_phase(
+                processes.gateways, 0.0, processes.healthy[:UNLOADED_ENDPOINTS], None
+            ),
+            self._run_phase(
+                processes.idle_naives, 0.0, processes.healthy[UNLOADED_ENDPOINTS:], None
+            ),
         )
         ours, naive = [], []
-        for load, acts in zip(LOADS, stage.acts):
-            self.hub.list(stage.steady + (acts.ours_dying.url,))
-            await asyncio.sleep(WARM_S)
+        for load, load_processes in zip(LOADS, processes.load_processes):
+            self.hub.list(processes.steady + (load_processes.ours_dying.url,))
+            await asyncio.sleep(WARM_UP_S)
             # What reached the endpoint that dies is counted for neither side.
-            victim = acts.ours_dying.process
-            ours.append(await self._phase(stage.gateways, load, stage.steady, victim))
-            victim = acts.naive_dying.process
-            naive.append(await self._phase(acts.naives, load, stage.steady, victim))
+            dying_process = load_processes.ours_dying.process
+            ours.append(
+                await self._run_phase(
+                    processes.gateways, load, processes.steady, dying_process
+                )
+            )
+            dying_process = load_processes.naive_dying.process
+            naive.append(
+                await self._run_phase(
+                    load_processes.naives, load, processes.steady, dying_process
+                )
+            )
         return self._report(ours, naive, unloaded)
 
-    def _set_stage(self, hub_url: str) -> "Stage":
+    def _start_processes(self, hub_url: str) -> "Stage":
         """Start every process of the run; side by side, for the start-up time."""
         # The gateways first: nothing else may take the ports chosen for them.
-        gateways = self._gateways(hub_url)
-        healthy = self._endpoints((EndpointKind(answer_s=0.0),) * 2 * HEALTHY)
-        kinds = [EndpointKind(answer_s=ANSWER_S)] * GOOD
-        kinds.append(EndpointKind(answer_s=SLOW_S))
-        kinds.append(EndpointKind(answer_s=ANSWER_S, fail_share=FAIL_SHARE))
-        steady = self._endpoints(tuple(kinds))
-        dying = [self._dying() for _ in range(2 * len(LOADS))]
+        gateways = self._start_gateways(hub_url)
+        healthy = self._start_endpoints(
+            (EndpointKind(answer_s=0.0),) * 2 * UNLOADED_ENDPOINTS
+        )
+        kinds = [EndpointKind(answer_s=GOOD_ANSWER_S)] * GOOD_ENDPOINTS
+        kinds.append(EndpointKind(answer_s=SLOW_ANSWER_S))
+        kinds.append(EndpointKind(answer_s=GOOD_ANSWER_S, fail_share=FAILING_SHARE))
+        steady = self._start_endpoints(tuple(kinds))
+        dying = [self._start_dying_endpoint() for _ in range(2 * len(LOADS))]
         urls = [_first_line(process) for process in dying]
-        victims = [Router(process=p, url=url) for p, url in zip(dying, urls)]
-        naives = [self._start_naives(healthy[HEALTHY:])]
-        for victim in victims[len(LOADS) :]:
-            naives.append(self._start_naives(steady + (victim.url,)))
+        dying_endpoints = [Router(process=p, url=url) for p, url in zip(dying, urls)]
+        naives = [self._start_naives(healthy[UNLOADED_ENDPOINTS:])]
+        for dying_endpoint in dying_endpoints[len(LOADS) :]:
+            naives.append(self._start_naives(steady + (dying_endpoint.url,)))
         systems = [_routers(each) for each in naives]
-        acts = [
-            Act(ours_dying=mine, naive_dying=its, naives=system)
-            for mine, its, system in zip(
-                victims[: len(LOADS)], victims[len(LOADS) :], systems[1:]
+        load_processes = [
+            LoadProcesses(
+                ours_dying=ours_dying_endpoint,
+                naive_dying=naive_dying_endpoint,
+                naives=system,
+            )
+            for ours_dying_endpoint, naive_dying_endpoint, system in zip(
+                dying_endpoints[: len(LOADS)],
+                dying_endpoints[len(LOADS) :],
+                systems[1:],
             )
         ]
         return Stage(
@@ -256,28 +281,28 @@
             steady=steady,
             gateways=gateways,
             idle_naives=systems[0],
-            acts=tuple(acts),
+            load_processes=tuple(load_processes),
         )
 
-    def _endpoints(self, kinds: tuple[EndpointKind, ...]) -> tuple[str, ...]:
-        process = self._part("endpoints", codec.encode_text(kinds))
+    def _start_endpoints(self, kinds: tuple[EndpointKind, ...]) -> tuple[str, ...]:
+        process = self._start_role("endpoints", codec.encode_text(kinds))
         return tuple(_first_line(process).split(","))
 
-    def _dying(self) -> "subprocess.Popen[str]":
-        kinds = (EndpointKind(answer_s=ANSWER_S),)
-        return self._part("endpoints", codec.encode_text(kinds))
+    def _start_dying_endpoint(self) -> "subprocess.Popen[str]":
+        kinds = (EndpointKind(answer_s=GOOD_ANSWER_S),)
+        return self._start_role("endpoints", codec.encode_text(kinds))
 
     def _start_naives(self, urls: tuple[str, ...]) -> list["subprocess.Popen[str]"]:
         text = codec.encode_text(urls)
-        return [self._part("naive", text) for _ in range(GATEWAYS)]
+        return [self._start_role("naive", text) for _ in range(GATEWAYS)]
 
-    def _part(self, role: str, text: str) -> "subprocess.Popen[str]":
+    def _start_role(self, role: str, text: str) -> "subprocess.Popen[str]":
         module = "bench.load" if role == "load" else "bench.parts"
         process = _spawn("-m", f"cranberrycleat.{module}", role, text, str(self.seed))
         self.started.append(process)
         return process
 
-    def _gateways(self, hub_url: str) -> "list[Router]":
+    def _start_gateways(self, hub_url: str) -> "list[Router]":
         ports = _free_ports(GATEWAYS)
         urls = [f"http://{LOOPBACK}:{port}" for port in ports]
         processes = []
@@ -291,35 +316,36 @@
             _first_line(process)
         return [Router(process=p, url=url) for p, url in zip(processes, urls)]
 
-    async def _phase(
+    async def _run_phase(
         self,
         system: "list[Router]",
         load: float,
         endpoints: tuple[str, ...],
-        victim: "subprocess.Popen[str] | None",
+        dying_process: "subprocess.Popen[str] | None",
     ) -> Figures:
         await self._counts(endpoints)
         before = [router.cpu_s() for router in system]
         rate = capacity() * load / GATEWAYS if load else 25.0
         callers = [
-            self._caller(router, rate, number) for number, router in enumerate(system)
+            self._start_caller(router, rate, number)
+            for number, router in enumerate(system)
         ]
         await asyncio.sleep(self.seconds / 2 + 0.5)
-        if victim is not None:
-            victim.kill()
+        if dying_process is not None:
+            dying_process.kill()
         texts = [await asyncio.to_thread(each.communicate) for each in callers]
         cpu = sum(r.cpu_s() - was for r, was in zip(system, before))
         results = [codec.decode(text[0], LoadResult) for text in texts]
         counts = await self._counts(endpoints)
         return _figures(load, self.seconds, results, counts, cpu)
 
-    def _caller(
+    def _start_caller(
         self, router: "Router", rate: float, number: int
     ) -> "subprocess.Popen[str]":
         plan = LoadPlan(
             url=router.url, rate=rate, seconds=self.seconds, seed=self.seed + number
         )
-        return self._part("load", codec.encode_text(plan))
+        return self._start_role("load", codec.encode_text(plan))
 
     async def _counts(self, urls: tuple[str, ...]) -> list[EndpointCounts]:
         async with make_client(timeout_s=5) as client:
@@ -363,11 +389,11 @@
         """Return the processor time it has used, in seconds."""
         with open(f"/proc/{self.process.pid}/stat", encoding="ascii") as file:
             fields = file.read().rsplit(")", 1)[1].split()
-        return (int(fields[11]) + int(fields[12])) / CLOCK_TICK
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 @attrs.frozen(kw_only=True)
-class Act:
+class LoadProcesses:
     """What one load needs beside the gateways: what dies, and the baselines."""
 
     ours_dying: Router
@@ -391,7 +417,7 @@
     steady: tuple[str, ...]
     gateways: list[Router]
     idle_naives: list[Router]
-    acts: tuple[Act, ...]
+    load_processes: tuple[LoadProcesses, ...]
 
 
 def _routers(processes: list["subprocess.Popen[str]"]) -> list[Router]:
--- a/cranberrycleat/bench/run.py
+++ b/cranberrycleat/bench/run.py
@@ -14,16 +14,16 @@
 
 from cranberrycleat import selectors
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.bench.workload import GPU_LABEL, BadDay, BenchCell, BenchJob
-from cranberrycleat.book import BookWorker, CapacityBook, WorkerState
-from cranberrycleat.jobs import Kind, Yield
-from cranberrycleat.placement import Ask, why_never
+from cranberrycleat.bench.workload import GPU_LABEL, BenchCell, BenchJob, Disturbances
+from cranberrycleat.inventory import InventoryWorker, WorkerInventory, WorkerState
+from cranberrycleat.jobs import Kind, PreemptionMode
+from cranberrycleat.placement import PlacementRequest, unsatisfiable_reasons
 from cranberrycleat.preemption import Preemption, throttled
 from cranberrycleat.rounds import RoundPlanner
 
 REPORT_LAG_S: Final = 5.0
 FAIL_AFTER_S: Final = 0.5
-DRAIN_S: Final = 400.0
+MAX_DRAIN_S: Final = 400.0
 RETRIES: Final = 50
 
 
@@ -37,7 +37,7 @@
 
     job: BenchJob
     name: str
-    since: float
+    waiting_since: float
     left_s: float
     worker: str = ""
     started: float = -1.0
@@ -79,7 +79,7 @@
 
     policy: str
     cell: BenchCell
-    bad: BadDay
+    disturbances: Disturbances
     jobs: list[BenchJob]
     planner: RoundPlanner
     round_s: float
@@ -90,22 +90,22 @@
     finished: list[BenchTask] = attrs.field(factory=list)
     figures: RunFigures = attrs.field(init=False)
     _events: list[tuple[float, int, str, object]] = attrs.field(factory=list)
-    _serial: "itertools.count[int]" = attrs.field(factory=itertools.count)
+    _event_numbers: "itertools.count[int]" = attrs.field(factory=itertools.count)
     _dirty: bool = True
-    _times: list[float] = attrs.field(factory=list)
-    _samples: list[tuple[float, int]] = attrs.field(factory=list)
-    _lost: float = 0.0
+    _round_times_s: list[float] = attrs.field(factory=list)
+    _utilization_samples: list[tuple[float, int]] = attrs.field(factory=list)
+    _lost_work: float = 0.0
     _failing: set[str] = attrs.field(factory=set)
-    _asks: dict[str, Ask] = attrs.field(factory=dict)
+    _asks: dict[str, PlacementRequest] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         self.figures = RunFigures(policy=self.policy)
 
     def run(self) -> RunFigures:
         """Run to the end and return the figures."""
-        self._begin()
+        self._schedule_initial_events()
         next_round = 0.0
-        end = self.cell.arrivals_s + DRAIN_S
+        end = self.cell.arrivals_s + MAX_DRAIN_S
         while self._events and self.now < end:
             at = self._events[0][0]
             if self._dirty and at >= next_round:
@@ -118,24 +118,26 @@
             self._handle(kind, what)
             if self.now > self.cell.arrivals_s and not self.waiting:
                 break
-        self._finish()
+        self._compute_figures()
         return self.figures
 
     # --- events -----------------------------------------------------------------
 
-    def _at(self, when: float, kind: str, what: object) -> None:
-        heapq.heappush(self._events, (when, next(self._serial), kind, what))
+    def _schedule(self, when: float, kind: str, what: object) -> None:
+        heapq.heappush(self._events, (when, next(self._event_numbers), kind, what))
 
-    def _begin(self) -> None:
-        self._failing = {f"w{number}" for number in range(self.bad.failing_workers)}
+    def _schedule_initial_events(self) -> None:
+        self._failing = {
+            f"w{number}" for number in range(self.disturbances.failing_workers)
+        }
         for job in self.jobs:
-            self._at(job.at, "arrive", job)
+            self._schedule(job.at, "arrive", job)
         half = self.cell.arrivals_s / 2
-        if self.bad.cancel_share:
-            self._at(half, "cancel", None)
-        if self.bad.rack_lost:
-            self._at(half, "rack", None)
-        self._at(self.cell.arrivals_s + 0.001, "tick", None)
+        if self.disturbances.cancel_share:
+            self._schedule(half, "cancel", None)
+        if self.disturbances.rack_lost:
+            self._schedule(half, "rack", None)
+        self._schedule(self.cell.arrivals_s + 0.001, "tick", None)
 
     def _handle(self, kind: str, what: object) -> None:
         match kind:
@@ -144,7 +146,7 @@
                 self._arrive(what)
             case "end":
                 assert isinstance(what, tuple)
-                self._end(*what)
+                self._end_task(*what)
             case "report":
                 assert isinstance(what, tuple)
                 self._report(*what)
@@ -161,7 +163,7 @@
             task = BenchTask(
                 job=job,
                 name=f"{job.name}/{number}",
-                since=self.now,
+                waiting_since=self.now,
                 left_s=job.run_s[number],
             )
             tasks.append(task)
@@ -169,21 +171,21 @@
         self.waiting[job.name] = tasks
         self._dirty = True
 
-    def _end(self, task: BenchTask, serial: int) -> None:
+    def _end_task(self, task: BenchTask, serial: int) -> None:
         if task.serial != serial or not task.worker:
             return
         worker = task.worker
-        self._leave(task)
+        self._release(task)
         if worker in self._failing:
-            self.planner.book.start_failed(worker)
-            self._wait_again(task)
+            self.planner.inventory.start_failed(worker)
+            self._requeue(task)
             return
-        self.planner.book.start_succeeded(worker)
-        self.planner.history.note_run(task.job.name, self.now - task.started)
+        self.planner.inventory.start_succeeded(worker)
+        self.planner.history.record_run(task.job.name, self.now - task.started)
         self.finished.append(task)
 
-    def _leave(self, task: BenchTask) -> None:
-        self.planner.book.release(task.worker, task.name)
+    def _release(self, task: BenchTask) -> None:
+        self.planner.inventory.release(task.worker, task.name)
         self.planner.forget(task.name)
         team = self.planner.teams.get(task.job.team)
         if team is not None:
@@ -191,71 +193,75 @@
         task.worker = ""
         self._dirty = True
 
-    def _wait_again(self, task: BenchTask) -> None:
-        task.since = self.now
+    def _requeue(self, task: BenchTask) -> None:
+        task.waiting_since = self.now
         self.waiting.setdefault(task.job.name, []).append(task)
         self._dirty = True
 
     def _report(self, task: BenchTask, serial: int) -> None:
         if task.serial == serial and task.worker:
             needs = self._asks[task.job.name].needs
-            book = self.planner.book
-            book.report(task.worker, task.name, needs, task.job.uses)
-            self.planner.history.note_use(task.job.name, task.job.uses)
+            inventory = self.planner.inventory
+            inventory.report(task.worker, task.name, needs, task.job.uses)
+            self.planner.history.record_usage(task.job.name, task.job.uses)
             self._dirty = True
 
     def _cancel(self) -> None:
         """A third of all waiting jobs is cancelled, in one pass."""
         names = sorted(self.waiting)
-        for name in names[: int(len(names) * self.bad.cancel_share)]:
+        for name in names[: int(len(names) * self.disturbances.cancel_share)]:
             del self.waiting[name]
         self._dirty = True
 
     def _lose_rack(self) -> None:
-        rack = next(reversed(self.planner.book.workers.values())).rack
-        for worker in list(self.planner.book.workers.values()):
+        rack = next(reversed(self.planner.inventory.workers.values())).rack
+        for worker in list(self.planner.inventory.workers.values()):
             if worker.rack == rack:
                 worker.state = WorkerState.SILENT
                 for name in list(worker.tasks):
                     task = self.by_name[name]
-                    self._leave(task)
-                    self._wait_again(task)
+                    self._release(task)
+                    self._requeue(task)
 
     # --- rounds -----------------------------------------------------------------
 
     def _round(self) -> None:
-        asks = [self._ask(name, tasks) for name, tasks in self.waiting.items()]
-        racks = {ask.job: self._racks(ask) for ask in asks if ask.kind is Kind.SERVICE}
+        requests = [self._ask(name, tasks) for name, tasks in self.waiting.items()]
+        racks = {
+            request.job: self._racks(request)
+            for request in requests
+            if request.kind is Kind.SERVICE
+        }
         began = time.perf_counter()
-        plan = self.planner.plan(asks, racks, now=self.now)
+        plan = self.planner.plan(requests, racks, now=self.now)
         took = time.perf_counter() - began
         self._dirty = False
         for assignment in plan.assignments:
             self._start(self.by_name[assignment.task], assignment.worker)
         for preemption in plan.preemptions:
-            self._give_way(preemption)
+            self._preempt(preemption)
         made = len(plan.assignments)
         if self.now > 0.0:
             self.figures.decisions += made
-            self._times.append(took)
-        self._drop_never()
+            self._round_times_s.append(took)
+        self._drop_infeasible()
         self._sample()
-        if any(w.state is WorkerState.QUARANTINED for w in self._watched()):
-            self._at(self.now + 5.0, "tick", None)
+        if any(w.state is WorkerState.QUARANTINED for w in self._faulty_workers()):
+            self._schedule(self.now + 5.0, "tick", None)
         if self.waiting and not self._events:
-            self._at(self.now + 1.0, "tick", None)
+            self._schedule(self.now + 1.0, "tick", None)
 
-    def _watched(self) -> list[BookWorker]:
-        return [self.planner.book.workers[name] for name in self._failing]
+    def _faulty_workers(self) -> list[InventoryWorker]:
+        return [self.planner.inventory.workers[name] for name in self._failing]
 
-    def _ask(self, name: str, tasks: list[BenchTask]) -> Ask:
+    def _ask(self, name: str, tasks: list[BenchTask]) -> PlacementRequest:
         known = self._asks.get(name)
         job = tasks[0].job
         history = self.planner.history
         declared = job.run_s[0] if self.pooled else job.declared_s
         run_s = history.run_s(job.name, declared)
         needs = known.needs if known else self._needs(job)
-        ask = Ask(
+        request = PlacementRequest(
             job=job.name,
             kind=job.kind,
             team=job.team,
@@ -270,8 +276,8 @@
             run_s=run_s,
             gives_way=job.gives_way,
         )
-        self._asks[name] = ask
-        return ask
+        self._asks[name] = request
+        return request
 
     def _needs(self, job: BenchJob) -> Amounts:
         learned = self.planner.history.needs(job.name, job.needs)
@@ -282,12 +288,12 @@
         )
         return learned if learned.fits_in(limit) else job.needs
 
-    def _racks(self, ask: Ask) -> dict[str, int]:
+    def _racks(self, request: PlacementRequest) -> dict[str, int]:
         counts: dict[str, int] = {}
-        for number in range(len(self._asks[ask.job].tasks)):
-            task = self.by_name.get(f"{ask.job}/{number}")
+        for number in range(len(self._asks[request.job].tasks)):
+            task = self.by_name.get(f"{request.job}/{number}")
             if task is not None and task.worker:
-                rack = self.planner.book.workers[task.worker].rack
+                rack = self.planner.inventory.workers[task.worker].rack
                 counts[rack] = counts.get(rack, 0) + 1
         return counts
 
@@ -297,61 +303,63 @@
         if not tasks:
             del self.waiting[task.job.name]
         task.worker, task.started = worker, self.now
-        task.serial = next(self._serial)
-        task.waited_s += self.now - task.since
+        task.serial = next(self._event_numbers)
+        task.waited_s += self.now - task.waiting_since
         task.starts += 1
         if worker in self._failing:
-            self._at(self.now + FAIL_AFTER_S, "end", (task, task.serial))
+            self._schedule(self.now + FAIL_AFTER_S, "end", (task, task.serial))
         elif task.left_s:
-            self._at(self.now + task.left_s, "end", (task, task.serial))
-        if self.bad.wrong_sizes:
-            self._at(self.now + REPORT_LAG_S, "report", (task, task.serial))
+            self._schedule(self.now + task.left_s, "end", (task, task.serial))
+        if self.disturbances.wrong_sizes:
+            self._schedule(self.now + REPORT_LAG_S, "report", (task, task.serial))
 
-    def _give_way(self, preemption: Preemption) -> None:
+    def _preempt(self, preemption: Preemption) -> None:
         task = self.by_name[preemption.task]
         ran = self.now - task.started
-        if preemption.how is Yield.THROTTLE:
-            needs = throttled(self.planner.book.workers[task.worker].tasks[task.name])
-            self.planner.book.recount(task.worker, task.name, needs)
+        if preemption.how is PreemptionMode.THROTTLE:
+            needs = throttled(
+                self.planner.inventory.workers[task.worker].tasks[task.name]
+            )
+            self.planner.inventory.set_needs(task.worker, task.name, needs)
             # It loses as much time as it has left: it runs at half the pace.
             task.waited_s += max(0.0, task.left_s - ran)
             task.left_s = 2 * max(0.0, task.left_s - ran)
-            task.started, task.serial = self.now, next(self._serial)
-            self._at(self.now + task.left_s, "end", (task, task.serial))
+            task.started, task.serial = self.now, next(self._event_numbers)
+            self._schedule(self.now + task.left_s, "end", (task, task.serial))
             self._dirty = True
             return
-        if preemption.how is Yield.CHECKPOINT:
+        if preemption.how is PreemptionMode.CHECKPOINT:
             task.left_s = max(0.1, task.left_s - ran)
         else:
-            self._lost += ran * task.job.uses.processors
+            self._lost_work += ran * task.job.uses.processors
             task.waited_s += ran
-        self._leave(task)
-        self._wait_again(task)
+        self._release(task)
+        self._requeue(task)
 
-    def _drop_never(self) -> None:
+    def _drop_infeasible(self) -> None:
         """Work that can never run is found once, said, and waits no more."""
-        if not self.bad.never_share:
+        if not self.disturbances.never_share:
             return
         for name in list(self.waiting):
-            if why_never(self._asks[name], self.planner.book):
+            if unsatisfiable_reasons(self._asks[name], self.planner.inventory):
                 self.figures.never += len(self.waiting.pop(name))
 
     def _sample(self) -> None:
         """Note what is used while work waits, and how many workers are touched."""
-        workers = self.planner.book.workers.values()
+        workers = self.planner.inventory.workers.values()
         over = [w for w in workers if not w.used.fits_in(w.capacity)]
-        given = [w for w in over if not self.bad.wrong_sizes]
+        given = [w for w in over if not self.disturbances.wrong_sizes]
         self.figures.over_capacity += len(given)
         self.figures.overfull_s += len(over) * self.round_s
         if self.waiting and self.now > 0.0:
             whole = sum(w.capacity.processors for w in workers)
             used = sum(w.used.processors for w in workers)
             touched = sum(1 for w in workers if w.tasks)
-            self._samples.append((used / whole, touched))
+            self._utilization_samples.append((used / whole, touched))
 
     # --- figures ----------------------------------------------------------------
 
-    def _finish(self) -> None:
+    def _compute_figures(self) -> None:
         figures = self.figures
         tasks = [task for task in self.by_name.values() if task.job.at > 0]
         started = [task for task in tasks if task.starts]
@@ -366,21 +374,27 @@
         figures.service_p99_s = _p99([t for t in started if t.job.kind is Kind.SERVICE])
         figures.batch_p99_s = _p99([t for t in started if t.job.kind is Kind.BATCH])
         figures.gang_p99_s = _p99([t for t in started if t.job.kind is Kind.GANG])
-        if self._samples:
-            count = len(self._samples)
-            figures.packing = round(sum(s[0] for s in self._samples) / count, 4)
-            figures.touched = round(sum(s[1] for s in self._samples) / count, 1)
+        if self._utilization_samples:
+            count = len(self._utilization_samples)
+            figures.packing = round(
+                sum(s[0] for s in self._utilization_samples) / count, 4
+            )
+            figures.touched = round(
+                sum(s[1] for s in self._utilization_samples) / count, 1
+            )
         work = sum(t.job.uses.processors * sum(t.job.run_s) for t in started)
-        figures.lost_share = round(self._lost / max(1.0, work), 5)
-        spent = sum(self._times)
+        figures.lost_share = round(self._lost_work / max(1.0, work), 5)
+        spent = sum(self._round_times_s)
         if spent:
             figures.decisions_per_s = round(figures.decisions / spent, 1)
         each = sorted(getattr(self.planner, "decision_s", ()))
-        figures.round_p99_ms = round(1000 * percentile(sorted(self._times), 0.99, 6), 3)
+        figures.round_p99_ms = round(
+            1000 * percentile(sorted(self._round_times_s), 0.99, 6), 3
+        )
         figures.decision_p99_ms = round(1000 * percentile(each, 0.99, 6), 3)
         figures.quarantined = sum(
             w.state is WorkerState.QUARANTINED or w.failures > 0
-            for w in self._watched()
+            for w in self._faulty_workers()
         )
 
 
@@ -396,9 +410,9 @@
     return round(values[index], digits)
 
 
-def make_book(cell: BenchCell, pooled: bool) -> CapacityBook:
+def make_inventory(cell: BenchCell, pooled: bool) -> WorkerInventory:
     """Return a case's workers, or one pooled worker as large as all of them."""
-    book = CapacityBook()
+    inventory = WorkerInventory()
     with_gpu = cell.accelerators // 8
     whole = NOTHING
     for number in range(cell.workers):
@@ -411,14 +425,14 @@
         whole = whole.plus(capacity)
         if not pooled:
             rack = f"r{number // cell.rack_size}"
-            book.add_worker(_worker(f"w{number}", rack, capacity, has_gpu))
+            inventory.add_worker(_worker(f"w{number}", rack, capacity, has_gpu))
     if pooled:
-        book.add_worker(_worker("pool", "r0", whole, True))
-    return book
+        inventory.add_worker(_worker("pool", "r0", whole, True))
+    return inventory
 
 
-def _worker(name: str, rack: str, capacity: Amounts, has_gpu: bool) -> BookWorker:
+def _worker(name: str, rack: str, capacity: Amounts, has_gpu: bool) -> InventoryWorker:
     labels = {GPU_LABEL: "yes"} if has_gpu else {}
-    return BookWorker(
+    return InventoryWorker(
         name=name, data_centre="dc", rack=rack, labels=labels, capacity=capacity
     )
--- a/cranberrycleat/bench/workload.py
+++ b/cranberrycleat/bench/workload.py
@@ -12,12 +12,12 @@
 import attrs
 
 from cranberrycleat.amounts import MILLI, Amounts
-from cranberrycleat.jobs import Kind, Priority, Yield
+from cranberrycleat.jobs import Kind, PreemptionMode, Priority
 
 GPU_LABEL: Final = "gpu"
 GPU_SELECTOR: Final = "gpu = yes"
 MEAN_RUN_S: Final = 60.0
-WRONG_BY: Final = 10.0
+MAX_ERROR_FACTOR: Final = 10.0
 
 
 @attrs.frozen(kw_only=True)
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class BadDay:
+class Disturbances:
     """What goes wrong in a case.
 
     Attributes:
@@ -101,7 +101,7 @@
     declared_s: float
     run_s: tuple[float, ...]
     selector: str
-    gives_way: Yield
+    gives_way: PreemptionMode
     at: float
 
 
@@ -118,7 +118,7 @@
     """
 
     cell: BenchCell
-    bad: BadDay
+    disturbances: Disturbances
     rng: random.Random
     jobs: list[BenchJob] = attrs.field(factory=list)
     asked: float = 0.0
@@ -130,10 +130,10 @@
         running = self.cell.load * total - self.asked
         self._batch(max(0.0, running), lambda: 0.0)
         per_s = self.cell.load * total / MEAN_RUN_S
-        lasting = self.cell.arrivals_s
-        steady = per_s * lasting
-        self._batch(steady, lambda: self.rng.uniform(0.5, lasting))
-        self._batch(self.cell.wave * total, lambda: lasting / 4)
+        duration_s = self.cell.arrivals_s
+        steady = per_s * duration_s
+        self._batch(steady, lambda: self.rng.uniform(0.5, duration_s))
+        self._batch(self.cell.wave * total, lambda: duration_s / 4)
         return sorted(self.jobs, key=lambda job: (job.at, job.name))
 
     def _services(self) -> None:
@@ -170,7 +170,11 @@
         run_s = tuple(
             mean_s * self.rng.uniform(0.8, 1.2) if mean_s else 0.0 for _ in range(count)
         )
-        off = self.rng.uniform(1 / WRONG_BY, WRONG_BY) if self.bad.wrong_sizes else 1.0
+        error_factor = (
+            self.rng.uniform(1 / MAX_ERROR_FACTOR, MAX_ERROR_FACTOR)
+            if self.disturbances.wrong_sizes
+            else 1.0
+        )
         self.jobs.append(
             BenchJob(
                 name=f"family{number % 40}{'abc'[rank]}{int(mean_s)}-{number}",
@@ -180,13 +184,19 @@
                 needs=needs,
                 uses=uses,
                 count=count,
-                declared_s=mean_s * off,
+                declared_s=mean_s * error_factor,
                 run_s=run_s,
                 selector=GPU_SELECTOR if uses.accelerators else "",
                 gives_way=(
-                    self.rng.choice([Yield.CHECKPOINT, Yield.THROTTLE, Yield.STOP])
+                    self.rng.choice(
+                        [
+                            PreemptionMode.CHECKPOINT,
+                            PreemptionMode.THROTTLE,
+                            PreemptionMode.STOP,
+                        ]
+                    )
                     if kind is not Kind.SERVICE
-                    else Yield.NEVER
+                    else PreemptionMode.NEVER
                 ),
                 at=at,
             )
@@ -195,15 +205,15 @@
             self.asked += needs.processors * count / MILLI
 
     def _declared(self, uses: Amounts) -> Amounts:
-        if self.rng.random() < self.bad.never_share:
-            huge = 2 * self.cell.processors * MILLI
-            return attrs.evolve(uses, processors=huge)
-        if not self.bad.wrong_sizes:
+        if self.rng.random() < self.disturbances.never_share:
+            infeasible_processors = 2 * self.cell.processors * MILLI
+            return attrs.evolve(uses, processors=infeasible_processors)
+        if not self.disturbances.wrong_sizes:
             return uses
-        off = self.rng.uniform(1 / WRONG_BY, 2.0)
+        error_factor = self.rng.uniform(1 / MAX_ERROR_FACTOR, 2.0)
         most = self.cell.processors * MILLI
         return attrs.evolve(
             uses,
-            processors=max(100, min(most, int(uses.processors * off))),
-            memory_mb=max(16, int(uses.memory_mb * off)),
+            processors=max(100, min(most, int(uses.processors * error_factor))),
+            memory_mb=max(16, int(uses.memory_mb * error_factor)),
         )
--- a/cranberrycleat/caller.py
+++ b/cranberrycleat/caller.py
@@ -14,10 +14,10 @@
 
 from cranberrycleat.http_calls import tls_context
 
-OUTCOME: Final = "x-outcome"
+OUTCOME_HEADER: Final = "x-outcome"
 
 
-class Told(enum.Enum):
+class CallOutcome(enum.Enum):
     """What a caller was told about its request."""
 
     ANSWERED = "answered"
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CallNote:
+class CallResult:
     """One request and what its caller was told.
 
     Attributes:
@@ -42,8 +42,8 @@
 
     id: str
     key: str | None
-    told: Told
-    own: bool
+    reported_outcome: CallOutcome
+    response_matches: bool
     replayed: bool
     status: int
     took_s: float
@@ -62,7 +62,7 @@
 
     gateways: tuple[str, ...]
     service: str
-    notes: list[CallNote] = attrs.field(factory=list)
+    results: list[CallResult] = attrs.field(factory=list)
     _client: httpx.AsyncClient = attrs.field(
         factory=lambda: httpx.AsyncClient(
             timeout=30.0,
@@ -71,28 +71,30 @@
             limits=httpx.Limits(max_connections=1000),
         )
     )
-    _turn: int = 0
+    _request_count: int = 0
 
-    async def read(self, path: str = "", **headers: str) -> CallNote:
+    async def send_get(self, path: str = "", **headers: str) -> CallResult:
         """Send a request that may be repeated."""
         return await self._send("GET", path, None, headers)
 
-    async def post(self, path: str = "", **headers: str) -> CallNote:
+    async def send_post(self, path: str = "", **headers: str) -> CallResult:
         """Send a request that may not be repeated, with no key."""
         return await self._send("POST", path, None, headers)
 
-    async def once(self, key: str, path: str = "", **headers: str) -> CallNote:
+    async def send_keyed_post(
+        self, key: str, path: str = "", **headers: str
+    ) -> CallResult:
         """Send a request that is to run at most once."""
         return await self._send("POST", path, key, headers)
 
     async def _send(
         self, method: str, path: str, key: str | None, headers: dict[str, str]
-    ) -> CallNote:
-        self._turn += 1
-        gateway = self.gateways[self._turn % len(self.gateways)]
-        ident = secrets.token_hex(8)
+    ) -> CallResult:
+        self._request_count += 1
+        gateway = self.gateways[self._request_count % len(self.gateways)]
+        request_id = secrets.token_hex(8)
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
-        sent["x-request-id"] = ident
+        sent["x-request-id"] = request_id
         body = b""
         if key is not None:
             sent["idempotency-key"] = key
@@ -100,49 +102,60 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            res = await self._client.request(
+            response = await self._client.request(
                 method,
                 f"{gateway}/call/{self.service}/{path}",
                 headers=sent,
                 content=body or None,
             )
         except httpx.HTTPError:
-            note = _no_answer(ident, key, loop.time() - began)
+            result = _result_without_response(request_id, key, loop.time() - began)
         else:
-            note = _note(res, ident, key, loop.time() - began)
-        self.notes.append(note)
-        return note
+            result = _result_from_response(
+                response, request_id, key, loop.time() - began
+            )
+        self.results.append(result)
+        return result
 
     async def close(self) -> None:
         """Close connections."""
         await self._client.aclose()
 
 
-def _no_answer(ident: str, key: str | None, took_s: float) -> CallNote:
-    return CallNote(
-        id=ident,
+def _result_without_response(
+    request_id: str, key: str | None, took_s: float
+) -> CallResult:
+    return CallResult(
+        id=request_id,
         key=key,
-        told=Told.UNKNOWN,
-        own=True,
+        reported_outcome=CallOutcome.UNKNOWN,
+        response_matches=True,
         replayed=False,
         status=0,
         took_s=took_s,
     )
 
 
-def _note(res: httpx.Response, ident: str, key: str | None, took_s: float) -> CallNote:
-    told = Told(res.headers.get(OUTCOME, Told.UNKNOWN.value))
-    replayed = "idempotency-replayed" in res.headers
-    own = told is not Told.ANSWERED or res.content.startswith(ident.encode())
+def _result_from_response(
+    response: httpx.Response, request_id: str, key: str | None, took_s: float
+) -> CallResult:
+    reported_outcome = CallOutcome(
+        response.headers.get(OUTCOME_HEADER, CallOutcome.UNKNOWN.value)
+    )
+    replayed = "idempotency-replayed" in response.headers
+    response_matches = (
+        reported_outcome is not CallOutcome.ANSWERED
+        or response.content.startswith(request_id.encode())
+    )
     if replayed and key is not None:
-        own = key.encode() in res.content
-    return CallNote(
-        id=ident,
+        response_matches = key.encode() in response.content
+    return CallResult(
+        id=request_id,
         key=key,
-        told=told,
-        own=own,
+        reported_outcome=reported_outcome,
+        response_matches=response_matches,
         replayed=replayed,
-        status=res.status_code,
+        status=response.status_code,
         took_s=took_s,
-        retry_after="retry-after" in res.headers,
+        retry_after="retry-after" in response.headers,
     )
--- a/cranberrycleat/cell.py
+++ b/cranberrycleat/cell.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CellTimes:
+class CellTimings:
     """How fast the parts of a cell go, in seconds; short for the demo."""
 
     lease_s: float = 1.5
@@ -89,7 +89,7 @@
     """
 
     plan: CellPlan
-    times: CellTimes = CellTimes()
+    timings: CellTimings = CellTimings()
     platform: PlatformStandin = attrs.field(
         factory=lambda: PlatformStandin(host=LOOPBACK, port=0)
     )
@@ -119,14 +119,14 @@
 
     async def _start_worker(self, number: int) -> None:
         centres = self.plan.data_centres
-        per_centre = -(-self.plan.workers // len(centres))
-        data_centre = centres[number // per_centre]
-        name = f"{data_centre}-{number % per_centre + 1}"
+        workers_per_dc = -(-self.plan.workers // len(centres))
+        data_centre = centres[number // workers_per_dc]
+        name = f"{data_centre}-{number % workers_per_dc + 1}"
         entry = HostEntry(
             name=name,
             url="",
             data_centre=data_centre,
-            rack=f"{data_centre}-r{number % per_centre // self.plan.rack_size + 1}",
+            rack=f"{data_centre}-r{number % workers_per_dc // self.plan.rack_size + 1}",
             labels=dict(self.plan.labels),
             capacity=Amounts(
                 processors=self.plan.processors * MILLI,
@@ -142,21 +142,21 @@
 
     async def add_scheduler(self, name: str, data_centre: str) -> Scheduler:
         """Start one more scheduler."""
-        times = self.times
+        timings = self.timings
         cfg = SchedulerOptions(
             name=name,
             data_centre=data_centre,
             platform=self.platform.url,
-            platform_timeout_s=times.platform_timeout_s,
-            digest_s=times.digest_s,
-            config_poll_s=times.config_poll_s,
-            drain_s=times.drain_s,
-            lease_s=times.lease_s,
-            worker_lease_s=times.worker_lease_s,
-            sync_s=times.sync_s,
-            order_s=times.order_s,
+            platform_timeout_s=timings.platform_timeout_s,
+            digest_s=timings.digest_s,
+            config_poll_s=timings.config_poll_s,
+            drain_s=timings.drain_s,
+            lease_s=timings.lease_s,
+            worker_lease_s=timings.worker_lease_s,
+            sync_s=timings.sync_s,
+            order_s=timings.order_s,
             round_s=0.1,
-            leave_s=times.leave_s,
+            leave_s=timings.leave_s,
             release_after_s=1.0,
         )
         scheduler = Scheduler(cfg=cfg, handlers=scheduler_handlers)
@@ -168,19 +168,19 @@
         centres = self.plan.data_centres
         peers = [each.url for each in self.schedulers]
         peers += [each.url for each in self.gateways]
-        times = self.times
+        timings = self.timings
         cfg = GatewayOptions(
             name=f"gateway-{number + 1}",
             data_centre=centres[number % len(centres)],
             platform=self.platform.url,
-            platform_timeout_s=times.platform_timeout_s,
+            platform_timeout_s=timings.platform_timeout_s,
             peers=tuple(peers),
-            digest_s=times.digest_s,
-            config_poll_s=times.config_poll_s,
-            drain_s=times.drain_s,
+            digest_s=timings.digest_s,
+            config_poll_s=timings.config_poll_s,
+            drain_s=timings.drain_s,
         )
         gateway = Gateway(cfg=cfg, handlers=gateway_handlers)
         await gateway.start()
-        for earlier in self.gateways:
-            earlier.add_peer(gateway.url)
+        for existing in self.gateways:
+            existing.add_peer(gateway.url)
         self.gateways.append(gateway)
--- a/cranberrycleat/claims.py
+++ b/cranberrycleat/claims.py
@@ -20,12 +20,18 @@
 
 from cranberrycleat import codec, errors
 from cranberrycleat.table import ABSENT, Check, Put, Row
-from cranberrycleat.writer import Change, GroupedWriter, Lost, Unsettled, Won
-
-KEPT_BODY: Final = 16 * 1024
+from cranberrycleat.writer import (
+    BatchingWriter,
+    Change,
+    Committed,
+    Conflicted,
+    OutcomeUnknown,
+)
+
+MAX_STORED_BODY_BYTES: Final = 16 * 1024
 """Answers up to this size are kept for a repeat of the request."""
-RETRY_S: Final = 2.0
-CLAIM_S: Final = 1.0
+CLAIM_RETRY_AFTER_S: Final = 2.0
+CLAIM_TIMEOUT_S: Final = 1.0
 """The longest that a claim is waited for, in seconds."""
 SENT: Final = "sent"
 ANSWERED: Final = "answered"
@@ -33,7 +39,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeptAnswer:
+class StoredAnswer:
     """An answer as kept in a claim row.
 
     Attributes:
@@ -61,7 +67,7 @@
     claim: str
     fingerprint: str
     state: str
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 @attrs.define(kw_only=True)
@@ -83,7 +89,7 @@
 class Replay:
     """The request was answered before; this is the answer."""
 
-    answer: KeptAnswer
+    answer: StoredAnswer
 
 
 def claim_key(idempotency_key: str) -> str:
@@ -101,10 +107,10 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Claims:
+class ClaimStore:
     """Makes and settles claims through the grouped writer."""
 
-    writer: GroupedWriter
+    writer: BatchingWriter
 
     async def claim(self, *, key: str, mark: str) -> Claim | Replay:
         """Claim a key for a request.
@@ -122,9 +128,9 @@
         found = await self._write(claim_key(key), ABSENT, row)
         if isinstance(found, Claim):
             return found
-        return await self._second_try(found, row)
+        return await self._resolve_existing(found, row)
 
-    async def _second_try(self, found: Row, row: ClaimRow) -> Claim | Replay:
+    async def _resolve_existing(self, found: Row, row: ClaimRow) -> Claim | Replay:
         """The key has a row: replay it, take it over if not run, or refuse."""
         held = codec.decode(found.value, ClaimRow, place=found.key)
         if held.fingerprint != row.fingerprint:
@@ -136,7 +142,7 @@
             if isinstance(again, Claim):
                 return again
         raise errors.ProblemError(
-            status=409, code=errors.KEY_IN_USE, retry_after_s=RETRY_S
+            status=409, code=errors.KEY_IN_USE, retry_after_s=CLAIM_RETRY_AFTER_S
         )
 
     async def _write(self, key: str, version: int, row: ClaimRow) -> Claim | Row:
@@ -145,14 +151,14 @@
             put=Put(key=key, value=codec.encode_text(row)),
         )
         match await self.writer.write(change):
-            case Won(version=now):
+            case Committed(version=now):
                 return Claim(key=key, version=now, row=row)
-            case Lost(row=Row() as found):
+            case Conflicted(row=Row() as found):
                 return found
-            case Lost() | Unsettled():
-                raise no_claim()
+            case Conflicted() | OutcomeUnknown():
+                raise claim_unavailable()
 
-    async def settle(self, claim: Claim, answer: KeptAnswer | None) -> None:
+    async def record_outcome(self, claim: Claim, answer: StoredAnswer | None) -> None:
         """Record how a claimed request ended; best effort.
 
         Args:
@@ -168,17 +174,19 @@
         await self.writer.write(change)
 
 
-def kept(status: int, content_type: str, body: bytes) -> KeptAnswer:
+def stored_answer(status: int, content_type: str, body: bytes) -> StoredAnswer:
     """Return an answer in the form that a claim row keeps."""
-    text = base64.b64encode(body).decode() if len(body) <= KEPT_BODY else None
-    return KeptAnswer(status=status, content_type=content_type, body=text)
+    text = (
+        base64.b64encode(body).decode() if len(body) <= MAX_STORED_BODY_BYTES else None
+    )
+    return StoredAnswer(status=status, content_type=content_type, body=text)
 
 
-def no_claim() -> errors.ProblemError:
+def claim_unavailable() -> errors.ProblemError:
     """Return the refusal where no safe claim can be made: nothing was run."""
     return errors.ProblemError(
         status=503,
         code=errors.NOT_RUN,
-        retry_after_s=RETRY_S,
+        retry_after_s=CLAIM_RETRY_AFTER_S,
         reason="no claim could be made for its idempotency key",
     )
--- a/cranberrycleat/cli.py
+++ b/cranberrycleat/cli.py
@@ -22,7 +22,7 @@
     WorkerOptions,
 )
 
-LAZY: Final = {
+LAZY_COMMANDS: Final = {
     "bench": "cranberrycleat.cli_bench",
     "demo": "cranberrycleat.cli_bench",
     "job": "cranberrycleat.cli_operator",
@@ -41,11 +41,11 @@
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return every command's name."""
-        return sorted({*super().list_commands(ctx), *LAZY})
+        return sorted({*super().list_commands(ctx), *LAZY_COMMANDS})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Return a command, imported if need be."""
-        module = LAZY.get(cmd_name)
+        module = LAZY_COMMANDS.get(cmd_name)
         if module is None:
             return super().get_command(ctx, cmd_name)
         found: click.Command = getattr(importlib.import_module(module), cmd_name)
@@ -73,33 +73,33 @@
     sys.exit(errors.EXIT_USAGE)
 
 
-def daemon(cls: type[Any], help_text: str) -> Callable[[Any], click.Command]:
+def daemon_command(cls: type[Any], help_text: str) -> Callable[[Any], click.Command]:
     """Make a command whose flags are the fields of an options class.
 
     The decorated function gets the options object and returns the part to run.
     """
 
-    def wrap(build: Callable[[Any], lifecycle.Part]) -> click.Command:
-        def invoke(**given: str | None) -> None:
+    def decorator(build: Callable[[Any], lifecycle.Daemon]) -> click.Command:
+        def invoke(**flag_values: str | None) -> None:
             try:
-                cfg = settings.load(cls, given)
+                cfg = settings.load(cls, flag_values)
             except errors.FindingsError as exc:
                 fail(exc.findings)
             logs.set_up(level=cfg.log_level, form=cfg.log_form)
             name = click.get_current_context().command_path
-            _run(build, cfg, name.removeprefix("cranberrycleat "))
+            _run_daemon(build, cfg, name.removeprefix("cranberrycleat "))
 
         return click.Command(
             name=build.__name__.removeprefix("run_"),
             callback=invoke,
-            params=[_option(field) for field in attrs.fields(cls)],
+            params=[_click_option(field) for field in attrs.fields(cls)],
             help=help_text,
         )
 
-    return wrap
+    return decorator
 
 
-def _option(field: "attrs.Attribute[Any]") -> click.Option:
+def _click_option(field: "attrs.Attribute[Any]") -> click.Option:
     return click.Option(
         [settings.flag(field)],
         type=str,
@@ -109,12 +109,12 @@
     )
 
 
-def _run(build: Callable[[Any], lifecycle.Part], cfg: Any, name: str) -> None:
-    async def whole() -> None:
+def _run_daemon(build: Callable[[Any], lifecycle.Daemon], cfg: Any, name: str) -> None:
+    async def run_until_stopped() -> None:
         await lifecycle.run(build(cfg), announce=name)
 
     try:
-        asyncio.run(whole())
+        asyncio.run(run_until_stopped())
     except errors.FindingsError as exc:
         fail(exc.findings)
     except (OSError, errors.PeerUnavailable) as exc:
@@ -122,8 +122,8 @@
         sys.exit(errors.EXIT_FAILED)
 
 
-@daemon(GatewayOptions, "Take callers' requests and route them to endpoints.")
-def run_gateway(cfg: GatewayOptions) -> lifecycle.Part:
+@daemon_command(GatewayOptions, "Take callers' requests and route them to endpoints.")
+def run_gateway(cfg: GatewayOptions) -> lifecycle.Daemon:
     from cranberrycleat import plugins
     from cranberrycleat.gateway import Gateway
     from cranberrycleat.gateway_api import gateway_handlers
@@ -132,8 +132,10 @@
     return Gateway(cfg=cfg, handlers=gateway_handlers)
 
 
-@daemon(SchedulerOptions, "Serve operators, and own this data centre's workers.")
-def run_scheduler(cfg: SchedulerOptions) -> lifecycle.Part:
+@daemon_command(
+    SchedulerOptions, "Serve operators, and own this data centre's workers."
+)
+def run_scheduler(cfg: SchedulerOptions) -> lifecycle.Daemon:
     from cranberrycleat import plugins
     from cranberrycleat.scheduler import Scheduler
     from cranberrycleat.scheduler_api import scheduler_handlers
@@ -142,8 +144,10 @@
     return Scheduler(cfg=cfg, handlers=scheduler_handlers)
 
 
-@daemon(NodeOptions, "Serve callers on a host of the platform; may own its workers.")
-def run_node(cfg: NodeOptions) -> lifecycle.Part:
+@daemon_command(
+    NodeOptions, "Serve callers on a host of the platform; may own its workers."
+)
+def run_node(cfg: NodeOptions) -> lifecycle.Daemon:
     from cranberrycleat.http_client import HttpClient
     from cranberrycleat.platform.adapter import make_adapter
     from cranberrycleat.workflow.node import Node
@@ -157,15 +161,15 @@
     """Small fakes of the platform and of a worker, for tests and the demo."""
 
 
-@daemon(PlatformOptions, "The platform's table, object store and host list.")
-def run_platform(cfg: PlatformOptions) -> lifecycle.Part:
+@daemon_command(PlatformOptions, "The platform's table, object store and host list.")
+def run_platform(cfg: PlatformOptions) -> lifecycle.Daemon:
     from cranberrycleat.standins.parts import platform_part
 
     return platform_part(cfg)
 
 
-@daemon(WorkerOptions, "A worker that runs tasks under leases.")
-def run_worker(cfg: WorkerOptions) -> lifecycle.Part:
+@daemon_command(WorkerOptions, "A worker that runs tasks under leases.")
+def run_worker(cfg: WorkerOptions) -> lifecycle.Daemon:
     from cranberrycleat.standins.parts import worker_part
 
     return worker_part(cfg)
--- a/cranberrycleat/cli_bench.py
+++ b/cranberrycleat/cli_bench.py
@@ -107,9 +107,9 @@
 
     Exits with 1 where something was lost or ran twice.
     """
-    from cranberrycleat.demo import SMALL, DemoSize, print_summaries, run_demo
+    from cranberrycleat.demo import SMALL_DEMO, DemoSize, print_summaries, run_demo
 
     logs.set_up(level=log_level, form="text")
-    summaries = asyncio.run(run_demo(SMALL if small else DemoSize()))
+    summaries = asyncio.run(run_demo(SMALL_DEMO if small else DemoSize()))
     if not print_summaries(summaries):
         sys.exit(errors.EXIT_FAILED)
--- a/cranberrycleat/cli_explain.py
+++ b/cranberrycleat/cli_explain.py
@@ -6,8 +6,15 @@
 import click
 
 from cranberrycleat import errors
-from cranberrycleat.explain import Cause, Entry, cause, read_lines, stories, story
-from cranberrycleat.losses import CAUSE, KEYS, sum_up
+from cranberrycleat.explain import (
+    Cause,
+    Entry,
+    cause,
+    job_timeline,
+    job_timelines,
+    read_lines,
+)
+from cranberrycleat.losses import CAUSE, KEYS, summarize
 
 
 @click.command()
@@ -18,7 +25,7 @@
     "--by",
     default=CAUSE,
     metavar="KEYS",
-    help=f"What to sum up by: any of {', '.join(KEYS)}, separated by commas.",
+    help=f"What to count by: any of {', '.join(KEYS)}, separated by commas.",
 )
 @click.option("--log", "logs", multiple=True, type=click.File("r"), help="A log file.")
 def explain(
@@ -45,13 +52,15 @@
         return
     if job is None:
         raise click.UsageError("name a JOB, or give --losses")
-    told = story(entries, job)
-    if not told.own:
-        click.echo(f"error: no line is about job {job!r}", err=True)
+    timeline = job_timeline(entries, job)
+    if not timeline.job_entries:
+        click.echo(f"error: no log line mentions job {job!r}", err=True)
         sys.exit(errors.EXIT_FAILED)
-    for entry in sorted([*told.own, *told.context], key=lambda each: each.at):
+    for entry in sorted(
+        [*timeline.job_entries, *timeline.context], key=lambda each: each.at
+    ):
         click.echo(entry.text())
-    _print_cause(cause(told))
+    _print_cause(cause(timeline))
 
 
 def _print_cause(found: Cause) -> None:
@@ -61,10 +70,10 @@
 
 
 def _print_losses(entries: list[Entry], by: tuple[str, ...]) -> None:
-    found = sum_up(stories(entries), by)
-    for row in found.rows:
+    losses = summarize(job_timelines(entries), by)
+    for row in losses.rows:
         click.echo(f"{row.jobs:6} {'  '.join(row.values)}")
     click.echo(
-        f"{found.lost:6} jobs lost or late of {found.jobs}; "
-        f"{found.unexplained} unexplained"
+        f"{losses.lost:6} jobs lost or late of {losses.jobs}; "
+        f"{losses.unexplained} unexplained"
     )
--- a/cranberrycleat/cli_operator.py
+++ b/cranberrycleat/cli_operator.py
@@ -13,13 +13,13 @@
 from cranberrycleat.cli import fail
 from cranberrycleat.config import Configuration
 from cranberrycleat.documents import load_configuration, load_jobs
-from cranberrycleat.jobs import JobStatusWords
+from cranberrycleat.jobs import JobStatusValues
 from cranberrycleat.messages import ConfigChange, JobStatus
 from cranberrycleat.operator_client import OperatorClient
 from cranberrycleat.standins.parts import parse_labels
 
 T = TypeVar("T")
-WAIT_STEP_S: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
 
 
 def _scheduler_option(command: Callable[..., Any]) -> Callable[..., Any]:
@@ -28,37 +28,37 @@
         required=True,
         envvar=settings.PREFIX + "SCHEDULER",
         metavar="URL[,URL]",
-        help="Schedulers to ask, in order, as http://IP:PORT. "
+        help="Schedulers to try, in order, as http://IP:PORT. "
         f"[env: {settings.PREFIX}SCHEDULER]",
     )(command)
 
 
-def _client(text: str) -> OperatorClient:
+def _make_client(text: str) -> OperatorClient:
     try:
         urls = settings.convert(settings.Urls(), text)
     except ValueError:
-        rule = settings.allowed(settings.Urls())
+        allowed_values = settings.allowed(settings.Urls())
         found = errors.finding(
-            "--scheduler", errors.BAD_VALUE, value=text, allowed=rule
+            "--scheduler", errors.BAD_VALUE, value=text, allowed=allowed_values
         )
         fail((found,))
     return OperatorClient(urls=urls)
 
 
-def _ask(work: Awaitable[T]) -> T:
+def _run_or_exit(awaitable: Awaitable[T]) -> T:
     """Wait for an answer; a refusal is printed and becomes an exit code."""
 
-    async def whole() -> T:
-        return await work
+    async def run_awaitable() -> T:
+        return await awaitable
 
     try:
-        return asyncio.run(whole())
+        return asyncio.run(run_awaitable())
     except errors.ProblemError as exc:
         click.echo(f"refused: {exc.detail} [{exc.code}]", err=True)
         for each in exc.findings:
             click.echo(f"  {each}", err=True)
         if exc.retry_after_s is not None:
-            click.echo(f"come back in {exc.retry_after_s:g} s", err=True)
+            click.echo(f"retry after {exc.retry_after_s:g} s", err=True)
         sys.exit(errors.EXIT_REFUSED)
     except errors.PeerUnavailable as exc:
         click.echo(f"unreachable: {exc}", err=True)
@@ -82,11 +82,11 @@
         specs = load_jobs(files)
     except errors.FindingsError as exc:
         fail(exc.findings)
-    client = _client(scheduler)
+    client = _make_client(scheduler)
     for spec in specs:
-        accepted = _ask(client.submit(spec))
-        homes = ", ".join(accepted.data_centres)
-        click.echo(f"accepted {spec.name} for {homes}")
+        accepted = _run_or_exit(client.submit(spec))
+        matching_data_centres = ", ".join(accepted.data_centres)
+        click.echo(f"accepted {spec.name} for {matching_data_centres}")
 
 
 @job.command("cancel")
@@ -94,7 +94,7 @@
 @_scheduler_option
 def job_cancel(name: str, scheduler: str) -> None:
     """Cancel job NAME: pending tasks never start, running ones are stopped."""
-    _ask(_client(scheduler).cancel(name))
+    _run_or_exit(_make_client(scheduler).cancel(name))
     click.echo(f"accepted the cancellation of {name}")
 
 
@@ -109,32 +109,32 @@
     Exits with 1 where a task failed, can never run, or, with --wait, is not
     done in time.
     """
-    found = _ask(_wait_for(_client(scheduler), name, wait))
+    found = _run_or_exit(_wait_for_job(_make_client(scheduler), name, wait))
     if as_json:
         click.echo(codec.encode_text(found))
     else:
         _print_job(found)
-    words = {each.state for each in found.tasks}
-    if words & JobStatusWords.BAD or (wait and not words <= JobStatusWords.ENDED):
+    states = {each.state for each in found.tasks}
+    if states & JobStatusValues.BAD or (wait and not states <= JobStatusValues.ENDED):
         sys.exit(errors.EXIT_FAILED)
 
 
-async def _wait_for(client: OperatorClient, name: str, wait_s: float) -> JobStatus:
+async def _wait_for_job(client: OperatorClient, name: str, wait_s: float) -> JobStatus:
     loop = asyncio.get_running_loop()
     end = loop.time() + wait_s
     while True:
         found = await client.job(name)
-        done = found.tasks and {t.state for t in found.tasks} <= JobStatusWords.ENDED
+        done = found.tasks and {t.state for t in found.tasks} <= JobStatusValues.ENDED
         if done or loop.time() >= end:
             return found
-        await asyncio.sleep(WAIT_STEP_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def _print_job(found: JobStatus) -> None:
     click.echo(f"{found.name} ({found.kind}){' cancelled' * found.cancelled}")
     for task in found.tasks:
-        where = f" on {task.worker}" if task.worker else ""
-        click.echo(f"  {task.index}: {task.state}{where}, attempt {task.attempt}")
+        worker_text = f" on {task.worker}" if task.worker else ""
+        click.echo(f"  {task.index}: {task.state}{worker_text}, attempt {task.attempt}")
     for reason in found.reasons:
         click.echo(f"  why: {reason}")
 
@@ -149,21 +149,23 @@
 @_scheduler_option
 def worker_list(as_json: bool, scheduler: str) -> None:
     """List the workers of every shard whose owner is among the schedulers."""
-    lists = _ask(_client(scheduler).workers())
+    worker_lists = _run_or_exit(_make_client(scheduler).workers())
     if as_json:
-        click.echo(codec.encode_text(lists))
+        click.echo(codec.encode_text(worker_lists))
         return
-    for each in sorted((w for group in lists for w in group.workers), key=_by_name):
-        used, has = each.used, each.capacity
+    for each in sorted(
+        (w for group in worker_lists for w in group.workers), key=_worker_name
+    ):
+        used, total = each.used, each.capacity
         click.echo(
             f"{each.name:20} {each.data_centre:16} {each.rack:10} {each.state:11} "
-            f"cpu {used.processors / 1000:g}/{has.processors / 1000:g} "
-            f"mem {used.memory_mb}/{has.memory_mb} "
-            f"acc {used.accelerators}/{has.accelerators} tasks {each.tasks}"
+            f"cpu {used.processors / 1000:g}/{total.processors / 1000:g} "
+            f"mem {used.memory_mb}/{total.memory_mb} "
+            f"acc {used.accelerators}/{total.accelerators} tasks {each.tasks}"
         )
 
 
-def _by_name(each: Any) -> str:
+def _worker_name(each: Any) -> str:
     return str(each.name)
 
 
@@ -173,16 +175,16 @@
 @_scheduler_option
 def worker_label(name: str, labels: tuple[str, ...], scheduler: str) -> None:
     """Set LABELS (key=value) on worker NAME, or remove one (key-)."""
-    wanted: dict[str, str | None] = {}
+    changes: dict[str, str | None] = {}
     for text in labels:
         if text.endswith("-") and "=" not in text:
-            wanted[text[:-1]] = None
+            changes[text[:-1]] = None
             continue
         try:
-            wanted.update(parse_labels(text, place=f"label {text}"))
+            changes.update(parse_labels(text, place=f"label {text}"))
         except errors.FindingsError as exc:
             fail(exc.findings)
-    _ask(_client(scheduler).label(name, wanted))
+    _run_or_exit(_make_client(scheduler).label(name, changes))
     click.echo(f"accepted the labels of {name}")
 
 
@@ -195,8 +197,8 @@
 
     If it still runs, its tasks will run in two places.
     """
-    _ask(_client(scheduler).declare_dead(name))
-    click.echo(f"accepted that {name} is dead")
+    _run_or_exit(_make_client(scheduler).declare_dead(name))
+    click.echo(f"accepted the declaration that {name} is dead")
 
 
 @click.group()
@@ -217,7 +219,7 @@
 def config_check(file: Path) -> None:
     """Check configuration FILE without applying it."""
     load_config(file)
-    click.echo(f"{file}: no faults")
+    click.echo(f"{file}: no errors found")
 
 
 @config.command("apply")
@@ -232,11 +234,11 @@
 def config_apply(file: Path, made_from: int | None, scheduler: str) -> None:
     """Apply configuration FILE; refused where another change came first."""
     cfg = load_config(file)
-    client = _client(scheduler)
+    client = _make_client(scheduler)
     if made_from is None:
-        made_from = _ask(client.config()).version
+        made_from = _run_or_exit(client.config()).version
     change = ConfigChange(made_from=made_from, document=codec.encode_text(cfg))
-    accepted = _ask(client.apply(change))
+    accepted = _run_or_exit(client.apply(change))
     click.echo(f"accepted version {accepted.version}")
 
 
@@ -244,7 +246,7 @@
 @_scheduler_option
 def config_show(scheduler: str) -> None:
     """Show the configuration in force and its version."""
-    found = _ask(_client(scheduler).config())
+    found = _run_or_exit(_make_client(scheduler).config())
     click.echo(f"version {found.version}")
     click.echo(json.dumps(json.loads(found.text), indent=2))
 
@@ -254,7 +256,7 @@
 @_scheduler_option
 def status(as_json: bool, scheduler: str) -> None:
     """Show each scheduler in a line."""
-    found = _ask(_client(scheduler).statuses())
+    found = _run_or_exit(_make_client(scheduler).statuses())
     if as_json:
         click.echo(codec.encode_text(found))
         return
@@ -272,5 +274,5 @@
 @click.argument("url")
 def dump(url: str) -> None:
     """Print the state of the process at URL as JSON."""
-    found = _ask(OperatorClient(urls=()).dump(url.rstrip("/")))
+    found = _run_or_exit(OperatorClient(urls=()).dump(url.rstrip("/")))
     click.echo(json.dumps(found, indent=2))
--- a/cranberrycleat/clock.py
+++ b/cranberrycleat/clock.py
@@ -10,10 +10,10 @@
 
 import attrs
 
-JUMP_S: Final = 0.25
+MIN_CLOCK_JUMP_S: Final = 0.25
 """A larger difference between two looks at the time of day, a planning round or a few
 apart, is no correction but a jump; smaller ones cost short work nothing."""
-STAYED_S: Final = 15.0
+JUMP_CONFIRMATION_S: Final = 15.0
 """How long a jump must have stayed: longer than the platform's jumps that are taken
 back (6 s), short against schedules, which go by minutes."""
 
@@ -51,7 +51,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class DayClock:
+class WallClock:
     """The time of day as one process decides by it: a jump counts once it has stayed.
 
     A host whose clock jumps by seconds, and often back again, would take the jump for
@@ -74,16 +74,16 @@
     def now_s(self) -> float:
         """Return the time in seconds since 1970."""
         now = self.steady.now()
-        seen_s = self.wall() - now
-        if abs(seen_s - self._offset_s) < JUMP_S:
-            self._follow(seen_s)
+        current_offset_s = self.wall() - now
+        if abs(current_offset_s - self._offset_s) < MIN_CLOCK_JUMP_S:
+            self._set_offset(current_offset_s)
         elif self._jumped_at is None:
             self._jumped_at = now
-        elif now - self._jumped_at > STAYED_S:
-            self._follow(seen_s)
+        elif now - self._jumped_at > JUMP_CONFIRMATION_S:
+            self._set_offset(current_offset_s)
         return now + self._offset_s
 
-    def _follow(self, offset_s: float) -> None:
+    def _set_offset(self, offset_s: float) -> None:
         self._offset_s = offset_s
         self._jumped_at = None
 
--- a/cranberrycleat/config.py
+++ b/cranberrycleat/config.py
@@ -83,37 +83,39 @@
 def _check_values(cfg: Configuration, place: str) -> tuple[errors.Finding, ...]:
     found = errors.Findings()
 
-    def need(holds: bool, path: str, value: object, allowed: str) -> None:
+    def require(holds: bool, path: str, value: object, allowed: str) -> None:
         if not holds:
             found.add(f"{place}.{path}", errors.BAD_VALUE, value=value, allowed=allowed)
 
     routing = cfg.routing
-    need(
+    require(
         0 <= routing.retry_share <= 1,
         "routing.retry_share",
         routing.retry_share,
         "0 to 1",
     )
-    need(0 <= routing.queue_s <= 60, "routing.queue_s", routing.queue_s, "0 to 60")
-    need(
+    require(0 <= routing.queue_s <= 60, "routing.queue_s", routing.queue_s, "0 to 60")
+    require(
         0 < routing.timeout_s <= 3600,
         "routing.timeout_s",
         routing.timeout_s,
         "more than 0, up to 3600",
     )
-    need(
+    require(
         1 <= routing.eject_after <= 1000,
         "routing.eject_after",
         routing.eject_after,
         "1 to 1000",
     )
-    need(0 <= routing.eject_s <= 3600, "routing.eject_s", routing.eject_s, "0 to 3600")
-    need(
+    require(
+        0 <= routing.eject_s <= 3600, "routing.eject_s", routing.eject_s, "0 to 3600"
+    )
+    require(
         0 <= routing.eject_most <= 1, "routing.eject_most", routing.eject_most, "0 to 1"
     )
     weight = cfg.placement.weight
-    need(weight in WEIGHTS, "placement.weight", weight, ", ".join(WEIGHTS))
+    require(weight in WEIGHTS, "placement.weight", weight, ", ".join(WEIGHTS))
     for team, quota in cfg.placement.quotas.items():
-        need(NAME.fullmatch(team) is not None, "placement.quotas", team, NAME_RULE)
-        need(0 <= quota <= 1, f"placement.quotas.{team}", quota, "0 to 1")
+        require(NAME.fullmatch(team) is not None, "placement.quotas", team, NAME_RULE)
+        require(0 <= quota <= 1, f"placement.quotas.{team}", quota, "0 to 1")
     return found.sorted()
--- a/cranberrycleat/demo.py
+++ b/cranberrycleat/demo.py
@@ -17,17 +17,17 @@
 
 from cranberrycleat import codec, errors
 from cranberrycleat.audit import audit
-from cranberrycleat.caller import Caller, Told
+from cranberrycleat.caller import Caller, CallOutcome
 from cranberrycleat.cell import Cell, CellPlan, load_plan
 from cranberrycleat.documents import load_configuration, load_jobs
-from cranberrycleat.jobs import JobSpec, JobStatusWords, Kind
+from cranberrycleat.jobs import JobSpec, JobStatusValues, Kind
 from cranberrycleat.messages import ConfigChange, JobStatus
 from cranberrycleat.operator_client import OperatorClient
 
 EXAMPLES: Final = Path(__file__).parent / "examples"
-DEPLOYMENTS: Final = ("haulbay", "timing")
-WAIT_S: Final = 40.0
-OUTAGE_S: Final = 1.5
+DEPLOYMENT_NAMES: Final = ("haulbay", "timing")
+WAIT_TIMEOUT_S: Final = 40.0
+PLATFORM_OUTAGE_S: Final = 1.5
 
 
 @attrs.frozen(kw_only=True)
@@ -44,14 +44,14 @@
     workers: int = 24
     entry_hosts: int = 0
     calls: int = 200
-    gap_s: float = 0.03
+    round_interval_s: float = 0.03
 
 
-SMALL: Final = DemoSize(workers=6, entry_hosts=3, calls=60, gap_s=0.03)
+SMALL_DEMO: Final = DemoSize(workers=6, entry_hosts=3, calls=60, round_interval_s=0.03)
 
 
 @attrs.define(kw_only=True)
-class Summary:
+class DemoSummary:
     """What came of one deployment's demo."""
 
     deployment: str
@@ -68,29 +68,29 @@
     faults: tuple[errors.Finding, ...] = ()
 
 
-async def run_demo(size: DemoSize) -> tuple[Summary, ...]:
+async def run_demo(size: DemoSize) -> tuple[DemoSummary, ...]:
     """Run every deployment in turn and return what came of each."""
-    return tuple([await _deployment(name, size) for name in DEPLOYMENTS])
+    return tuple([await _run_deployment(name, size) for name in DEPLOYMENT_NAMES])
 
 
-async def _deployment(name: str, size: DemoSize) -> Summary:
+async def _run_deployment(name: str, size: DemoSize) -> DemoSummary:
     folder = EXAMPLES / name
-    plan = _sized(load_plan(folder / "cell.toml"), size)
-    jobs = _scaled(load_jobs((folder / "workloads.toml",)), size)
+    plan = _scale_plan(load_plan(folder / "cell.toml"), size)
+    jobs = _scale_jobs(load_jobs((folder / "workloads.toml",)), size)
     cell = Cell(plan=plan)
     await cell.start()
     try:
-        return await _session(cell, folder, jobs, size)
+        return await _run_session(cell, folder, jobs, size)
     finally:
         await cell.stop()
 
 
-def _sized(plan: CellPlan, size: DemoSize) -> CellPlan:
+def _scale_plan(plan: CellPlan, size: DemoSize) -> CellPlan:
     hosts = size.entry_hosts or plan.entry_hosts
     return attrs.evolve(plan, workers=size.workers, entry_hosts=hosts)
 
 
-def _scaled(jobs: tuple[JobSpec, ...], size: DemoSize) -> tuple[JobSpec, ...]:
+def _scale_jobs(jobs: tuple[JobSpec, ...], size: DemoSize) -> tuple[JobSpec, ...]:
     """Ask for fewer tasks where there are fewer workers."""
     share = size.workers / DemoSize().workers
     return tuple(
@@ -98,81 +98,87 @@
     )
 
 
-async def _session(
+async def _run_session(
     cell: Cell, folder: Path, jobs: tuple[JobSpec, ...], size: DemoSize
-) -> Summary:
+) -> DemoSummary:
     client = OperatorClient(urls=tuple(each.url for each in cell.schedulers))
-    await _all_workers_known(client, size.workers)
+    await _wait_for_workers(client, size.workers)
     document = codec.encode_text(load_configuration(folder / "config.toml"))
     await client.apply(ConfigChange(made_from=0, document=document))
     for job in jobs:
         await client.submit(job)
     service = next(job for job in jobs if job.kind is Kind.SERVICE)
-    await _endpoints_known(cell, service)
+    await _wait_for_endpoints(cell, service)
     caller = Caller(
         gateways=tuple(each.url for each in cell.gateways), service=service.name
     )
-    faults = asyncio.create_task(_bring_faults(cell))
-    await _call(caller, size)
+    faults = asyncio.create_task(_inject_faults(cell))
+    await _send_calls(caller, size)
     await faults
     statuses = await _wait_for_jobs(client, jobs)
     await caller.close()
     return _summary(cell, caller, statuses)
 
 
-async def _all_workers_known(client: OperatorClient, count: int) -> None:
+async def _wait_for_workers(client: OperatorClient, count: int) -> None:
     async def known() -> bool:
-        lists = await client.workers()
-        live = [w for each in lists for w in each.workers if w.state == "live"]
-        return len(live) == count
+        worker_lists = await client.workers()
+        live_workers = [
+            w for each in worker_lists for w in each.workers if w.state == "live"
+        ]
+        return len(live_workers) == count
 
-    await _until(known)
+    await _wait_until(known)
 
 
-async def _endpoints_known(cell: Cell, service: JobSpec) -> None:
+async def _wait_for_endpoints(cell: Cell, service: JobSpec) -> None:
     async def known() -> bool:
-        books = [each.book.services.get(service.name) for each in cell.gateways]
-        return all(book and len(book.all()) >= service.tasks for book in books)
+        catalogs = [each.catalog.services.get(service.name) for each in cell.gateways]
+        return all(
+            catalog and len(catalog.all()) >= service.tasks for catalog in catalogs
+        )
 
-    await _until(known)
+    await _wait_until(known)
 
 
-async def _until(holds: Callable[[], Awaitable[bool]], wait_s: float = WAIT_S) -> bool:
+async def _wait_until(
+    condition: Callable[[], Awaitable[bool]], wait_s: float = WAIT_TIMEOUT_S
+) -> bool:
     """Wait until something holds; return whether it did in time."""
     loop = asyncio.get_running_loop()
     end = loop.time() + wait_s
     while loop.time() < end:
-        if await holds():
+        if await condition():
             return True
         await asyncio.sleep(0.1)
     return False
 
 
-async def _bring_faults(cell: Cell) -> None:
+async def _inject_faults(cell: Cell) -> None:
     """Crash a worker, then take the platform down for a while."""
     await asyncio.sleep(1.0)
     await next(iter(cell.workers.values())).crash()
     await asyncio.sleep(1.0)
     cell.platform.table.faults.down = True
-    await asyncio.sleep(OUTAGE_S)
+    await asyncio.sleep(PLATFORM_OUTAGE_S)
     cell.platform.table.faults.down = False
 
 
-async def _call(caller: Caller, size: DemoSize) -> None:
+async def _send_calls(caller: Caller, size: DemoSize) -> None:
     """Call the service; each run-once request goes out twice."""
     calls: list[asyncio.Task[object]] = []
     for number in range(size.calls):
         key = secrets.token_hex(8)
-        calls.append(asyncio.create_task(caller.read(f"bay/{number}")))
-        calls.append(asyncio.create_task(_once_and_again(caller, key)))
-        await asyncio.sleep(size.gap_s)
+        calls.append(asyncio.create_task(caller.send_get(f"bay/{number}")))
+        calls.append(asyncio.create_task(_send_twice(caller, key)))
+        await asyncio.sleep(size.round_interval_s)
     await asyncio.gather(*calls)
 
 
-async def _once_and_again(caller: Caller, key: str) -> None:
+async def _send_twice(caller: Caller, key: str) -> None:
     """Send a run-once request, and repeat it through the next gateway."""
-    await caller.once(key, "book")
-    await caller.once(key, "book")
+    await caller.send_keyed_post(key, "book")
+    await caller.send_keyed_post(key, "book")
 
 
 async def _wait_for_jobs(
@@ -180,47 +186,57 @@
 ) -> tuple[JobStatus, ...]:
     async def ended() -> bool:
         for job in jobs:
-            words = {each.state for each in (await client.job(job.name)).tasks}
-            wanted = {"placed"} if job.kind is Kind.SERVICE else JobStatusWords.ENDED
-            if not words or not words <= wanted:
+            states = {each.state for each in (await client.job(job.name)).tasks}
+            expected_states = (
+                {"placed"} if job.kind is Kind.SERVICE else JobStatusValues.ENDED
+            )
+            if not states or not states <= expected_states:
                 return False
         return True
 
-    await _until(ended)
+    await _wait_until(ended)
     return tuple([await client.job(job.name) for job in jobs])
 
 
-def _summary(cell: Cell, caller: Caller, statuses: tuple[JobStatus, ...]) -> Summary:
-    summary = Summary(deployment=cell.plan.name)
+def _summary(
+    cell: Cell, caller: Caller, statuses: tuple[JobStatus, ...]
+) -> DemoSummary:
+    summary = DemoSummary(deployment=cell.plan.name)
     records = [worker.record() for worker in cell.workers.values()]
-    summary.faults = audit(records, caller.notes)
-    told = [note.told for note in caller.notes]
-    summary.served = told.count(Told.ANSWERED)
-    summary.not_run = told.count(Told.NOT_RUN)
-    summary.unknown = told.count(Told.UNKNOWN)
-    summary.replayed = sum(1 for note in caller.notes if note.replayed)
-    waits = sorted(n.took_s * 1000 for n in caller.notes if n.told is Told.ANSWERED)
-    if waits:
-        summary.wait_p50_ms = waits[len(waits) // 2]
-        summary.wait_p99_ms = waits[int(len(waits) * 0.99)]
+    summary.faults = audit(records, caller.results)
+    reported_outcome = [result.reported_outcome for result in caller.results]
+    summary.served = reported_outcome.count(CallOutcome.ANSWERED)
+    summary.not_run = reported_outcome.count(CallOutcome.NOT_RUN)
+    summary.unknown = reported_outcome.count(CallOutcome.UNKNOWN)
+    summary.replayed = sum(1 for result in caller.results if result.replayed)
+    latencies_ms = sorted(
+        n.took_s * 1000
+        for n in caller.results
+        if n.reported_outcome is CallOutcome.ANSWERED
+    )
+    if latencies_ms:
+        summary.wait_p50_ms = latencies_ms[len(latencies_ms) // 2]
+        summary.wait_p99_ms = latencies_ms[int(len(latencies_ms) * 0.99)]
     for status in statuses:
-        words = [each.state for each in status.tasks]
-        running = words.count("placed") if status.kind == Kind.SERVICE.value else 0
+        states = [each.state for each in status.tasks]
+        running = states.count("placed") if status.kind == Kind.SERVICE.value else 0
         summary.placed += sum(1 for each in status.tasks if each.attempt)
-        summary.done += words.count("done")
-        summary.never += words.count("never")
-        ended = sum(words.count(word) for word in JobStatusWords.ENDED)
-        summary.unfinished += len(words) - ended - running
+        summary.done += states.count("done")
+        summary.never += states.count("never")
+        ended = sum(states.count(ended_state) for ended_state in JobStatusValues.ENDED)
+        summary.unfinished += len(states) - ended - running
     return summary
 
 
-def print_summaries(summaries: tuple[Summary, ...]) -> bool:
+def print_summaries(summaries: tuple[DemoSummary, ...]) -> bool:
     """Print the table; return whether nothing was lost or ran twice."""
-    columns = [field.name for field in attrs.fields(Summary) if field.name != "faults"]
+    columns = [
+        field.name for field in attrs.fields(DemoSummary) if field.name != "faults"
+    ]
     click.echo(" ".join(f"{name:>11}" for name in columns))
     for each in summaries:
-        cells = [getattr(each, name) for name in columns]
-        click.echo(" ".join(f"{_cell(value):>11}" for value in cells))
+        row_values = [getattr(each, name) for name in columns]
+        click.echo(" ".join(f"{_format_value(value):>11}" for value in row_values))
     for each in summaries:
         for fault in each.faults:
             click.echo(f"FAULT {each.deployment}: {fault}")
@@ -229,5 +245,5 @@
     return good
 
 
-def _cell(value: object) -> str:
+def _format_value(value: object) -> str:
     return f"{value:.1f}" if isinstance(value, float) else str(value)
--- a/cranberrycleat/documents.py
+++ b/cranberrycleat/documents.py
@@ -10,7 +10,7 @@
 from cranberrycleat.config import Configuration, parse_configuration
 from cranberrycleat.jobs import JobSpec, parse_job, unwrap
 
-MOST_FILE: Final = 1024 * 1024
+MAX_FILE_BYTES: Final = 1024 * 1024
 """The largest file that is read, in bytes."""
 
 
@@ -24,9 +24,9 @@
         data = path.read_bytes()
     except OSError as exc:
         raise _malformed(path, str(exc.strerror)) from None
-    if len(data) > MOST_FILE:
+    if len(data) > MAX_FILE_BYTES:
         found = errors.finding(
-            str(path), errors.TOO_LARGE, size=f"{len(data)} bytes", limit=MOST_FILE
+            str(path), errors.TOO_LARGE, size=f"{len(data)} bytes", limit=MAX_FILE_BYTES
         )
         raise errors.FindingsError(findings=(found,))
     try:
--- a/cranberrycleat/early_listen.py
+++ b/cranberrycleat/early_listen.py
@@ -19,10 +19,10 @@
 BACKLOG: Final = 2048
 """Connections that may wait: ten times what a host is offered in a start."""
 
-_opened: dict[tuple[str, int], socket.socket] = {}
+_sockets: dict[tuple[str, int], socket.socket] = {}
 
 
-def open_early(host: str, port: int) -> bool:
+def listen_early(host: str, port: int) -> bool:
     """Listen at an address; return whether that was possible."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -34,10 +34,10 @@
         sock.close()
         return False
     sock.setblocking(False)
-    _opened[(host, sock.getsockname()[1])] = sock
+    _sockets[(host, sock.getsockname()[1])] = sock
     return True
 
 
-def take(host: str, port: int) -> socket.socket | None:
+def take_socket(host: str, port: int) -> socket.socket | None:
     """Hand over the socket that was opened early at an address, once."""
-    return _opened.pop((host, port), None)
+    return _sockets.pop((host, port), None)
--- a/cranberrycleat/endpoints.py
+++ b/cranberrycleat/endpoints.py
@@ -12,15 +12,15 @@
 import attrs
 
 from cranberrycleat.config import RoutingConfig
-from cranberrycleat.messages import Endpoint, EndpointSet, SeenSet
-from cranberrycleat.slots import SlotShare, share_of
+from cranberrycleat.messages import Endpoint, EndpointSet, EndpointSetVersion
+from cranberrycleat.slots import SlotShare, slot_share
 
-SMOOTHING: Final = 0.1
-FIRST_GUESS_S: Final = 0.05
-MOST_EJECT_S: Final = 60.0
+LATENCY_SMOOTHING: Final = 0.1
+INITIAL_LATENCY_S: Final = 0.05
+MAX_EJECTION_S: Final = 60.0
 
 
-class Verdict(enum.Enum):
+class EndpointResult(enum.Enum):
     """How a request at an endpoint went, for its health."""
 
     GOOD = "good"
@@ -48,13 +48,13 @@
     failures: int = 0
     ejected_until: float = float("-inf")
     ejections: int = 0
-    took_s: float = FIRST_GUESS_S
+    took_s: float = INITIAL_LATENCY_S
 
-    def note_took(self, seconds: float) -> None:
+    def record_latency(self, seconds: float) -> None:
         """Take in how long a request took, or how long it was waited for."""
-        self.took_s += SMOOTHING * (seconds - self.took_s)
+        self.took_s += LATENCY_SMOOTHING * (seconds - self.took_s)
 
-    def expected_s(self) -> float:
+    def expected_latency_s(self) -> float:
         """Return about how long one more request would take."""
         return self.took_s * (1 + self.share.in_flight / self.share.share)
 
@@ -73,25 +73,25 @@
         took_s: The smoothed time that a request takes, in seconds.
     """
 
-    near: list[EndpointState] = attrs.field(factory=list)
-    far: list[EndpointState] = attrs.field(factory=list)
-    took_s: float = FIRST_GUESS_S
+    local: list[EndpointState] = attrs.field(factory=list)
+    remote: list[EndpointState] = attrs.field(factory=list)
+    took_s: float = INITIAL_LATENCY_S
 
     def all(self) -> list[EndpointState]:
         """Return every endpoint."""
-        return self.near + self.far
+        return self.local + self.remote
 
     def capacity(self) -> int:
         """Return how many requests this gateway may have in flight."""
         return sum(int(e.share.allowed) for e in self.all() if not e.leaving)
 
-    def note_took(self, seconds: float) -> None:
+    def record_latency(self, seconds: float) -> None:
         """Take in how long a request took."""
-        self.took_s += SMOOTHING * (seconds - self.took_s)
+        self.took_s += LATENCY_SMOOTHING * (seconds - self.took_s)
 
 
 @attrs.define(kw_only=True, eq=False)
-class EndpointBook:
+class EndpointCatalog:
     """Every endpoint that a gateway knows.
 
     Attributes:
@@ -101,22 +101,22 @@
         total: How many gateways live in all data centres.
     """
 
-    me: str
+    gateway_name: str
     data_centre: str
     members: tuple[str, ...] = ()
-    total: int = 1
+    total_gateways: int = 1
     services: dict[str, ServiceEndpoints] = attrs.field(factory=dict)
     leaving: set[str] = attrs.field(factory=set)
     _sets: dict[str, EndpointSet] = attrs.field(factory=dict)
     _states: dict[str, EndpointState] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.members = self.members or (self.me,)
+        self.members = self.members or (self.gateway_name,)
 
-    def seen(self) -> tuple[SeenSet, ...]:
+    def seen(self) -> tuple[EndpointSetVersion, ...]:
         """Return which sets this gateway has."""
         return tuple(
-            SeenSet(
+            EndpointSetVersion(
                 data_centre=each.data_centre, epoch=each.epoch, revision=each.revision
             )
             for each in self._sets.values()
@@ -126,7 +126,7 @@
         """Return the newest set of each data centre, to hand to peers."""
         return tuple(self._sets.values())
 
-    def learn(self, offered: EndpointSet) -> bool:
+    def merge_set(self, offered: EndpointSet) -> bool:
         """Take in a set; return whether it was newer than what was known."""
         known = self._sets.get(offered.data_centre)
         if known is not None:
@@ -136,14 +136,14 @@
         self._rebuild()
         return True
 
-    def learn_members(self, members: tuple[str, ...], total: int) -> None:
+    def update_gateways(self, members: tuple[str, ...], total_gateways: int) -> None:
         """Take in the list of live gateways."""
-        if members != self.members or total != self.total:
-            self.members, self.total = members, total
+        if members != self.members or total_gateways != self.total_gateways:
+            self.members, self.total_gateways = members, total_gateways
             for state in self._states.values():
                 state.share.resize(self._share(state.endpoint))
 
-    def learn_leaving(self, urls: tuple[str, ...]) -> None:
+    def mark_leaving(self, urls: tuple[str, ...]) -> None:
         """Take in signs that endpoints are leaving, from any source."""
         for url in urls:
             state = self._states.get(url)
@@ -153,14 +153,14 @@
 
     def _share(self, endpoint: Endpoint) -> int:
         if endpoint.data_centre == self.data_centre:
-            return share_of(
+            return slot_share(
                 slots=endpoint.slots,
                 members=self.members,
-                me=self.me,
+                gateway_name=self.gateway_name,
                 endpoint=endpoint.url,
             )
         # Work from afar is the exception: it takes an even part of the whole.
-        return max(1, endpoint.slots // max(1, self.total))
+        return max(1, endpoint.slots // max(1, self.total_gateways))
 
     def _rebuild(self) -> None:
         listed = [e for each in self._sets.values() for e in each.endpoints]
@@ -172,10 +172,10 @@
         for state in states.values():
             name = state.endpoint.service
             service = self.services.setdefault(
-                name, ServiceEndpoints(took_s=took.get(name, FIRST_GUESS_S))
+                name, ServiceEndpoints(took_s=took.get(name, INITIAL_LATENCY_S))
             )
-            near = state.endpoint.data_centre == self.data_centre
-            (service.near if near else service.far).append(state)
+            local = state.endpoint.data_centre == self.data_centre
+            (service.local if local else service.remote).append(state)
 
     def _state(self, endpoint: Endpoint) -> EndpointState:
         known = self._states.get(endpoint.url)
@@ -187,10 +187,10 @@
         return known
 
 
-def judge(
+def record_result(
     service: ServiceEndpoints,
     state: EndpointState,
-    verdict: Verdict,
+    result: EndpointResult,
     *,
     now: float,
     cfg: RoutingConfig,
@@ -200,14 +200,14 @@
     At most `cfg.eject_most` of a service's endpoints are left out at once, so
     that a fault they share does not leave the service with none.
     """
-    match verdict:
-        case Verdict.GOOD:
+    match result:
+        case EndpointResult.GOOD:
             state.failures = 0
             state.ejections = 0
             state.share.answered()
-        case Verdict.FULL:
+        case EndpointResult.FULL:
             state.share.refused()
-        case Verdict.BAD:
+        case EndpointResult.BAD:
             state.failures += 1
             if state.failures >= cfg.eject_after and _may_eject(service, now, cfg):
                 _eject(state, now, cfg)
@@ -221,7 +221,7 @@
 
 def _eject(state: EndpointState, now: float, cfg: RoutingConfig) -> None:
     state.ejections += 1
-    length = min(MOST_EJECT_S, cfg.eject_s * 2 ** min(10, state.ejections - 1))
+    length = min(MAX_EJECTION_S, cfg.eject_s * 2 ** min(10, state.ejections - 1))
     state.ejected_until = now + length
     # One failure after its return is enough to leave it out again.
     state.failures = cfg.eject_after - 1
--- a/cranberrycleat/events.py
+++ b/cranberrycleat/events.py
@@ -26,23 +26,23 @@
 
     name: str
     doc: str
-    kept: bool
+    essential: bool
 
 
 KINDS: Final[dict[type[Any], EventKind]] = {}
 
 
 @dataclass_transform(kw_only_default=True, frozen_default=True)
-def event(name: str, *, kept: bool = False) -> Callable[[type[T]], type[T]]:
+def event(name: str, *, essential: bool = False) -> Callable[[type[T]], type[T]]:
     """Return a decorator that makes a class an event of that name."""
 
-    def make(cls: type[T]) -> type[T]:
-        made = attrs.frozen(kw_only=True)(cls)
+    def register(cls: type[T]) -> type[T]:
+        event_class = attrs.frozen(kw_only=True)(cls)
         doc = (cls.__doc__ or "").strip().splitlines()[0]
-        KINDS[made] = EventKind(name=name, doc=doc, kept=kept)
-        return made
+        KINDS[event_class] = EventKind(name=name, doc=doc, essential=essential)
+        return event_class
 
-    return make
+    return register
 
 
 # --- a job's way -----------------------------------------------------------------
@@ -73,7 +73,7 @@
     after_s: float
 
 
-@event("job.refused", kept=True)
+@event("job.refused", essential=True)
 class JobRefused:
     """A door refused a job; nothing of it was sent on or stored."""
 
@@ -84,7 +84,7 @@
     workspace: str = ""
 
 
-@event("caller.rejected", kept=True)
+@event("caller.rejected", essential=True)
 class CallerRejected:
     """A request was not carried out for want of a good key.
 
@@ -98,7 +98,7 @@
     reason: str
 
 
-@event("job.malformed", kept=True)
+@event("job.malformed", essential=True)
 class JobMalformed:
     """A job cannot be read, or asks for what can never be."""
 
@@ -107,7 +107,7 @@
     reason: str
 
 
-@event("job.unknown", kept=True)
+@event("job.unknown", essential=True)
 class JobUnknown:
     """A door gave up settling whether a job was stored."""
 
@@ -141,7 +141,7 @@
     job: str
 
 
-@event("job.withdrawn", kept=True)
+@event("job.withdrawn", essential=True)
 class JobWithdrawn:
     """The owner gave a job back: no transaction with it was ever sent."""
 
@@ -157,7 +157,7 @@
     state: str
 
 
-@event("job.ended", kept=True)
+@event("job.ended", essential=True)
 class JobEnded:
     """A job became final; `late` tells whether it missed its objective."""
 
@@ -224,7 +224,7 @@
     slack_s: float
 
 
-@event("step.hopeless", kept=True)
+@event("step.hopeless", essential=True)
 class StepHopeless:
     """Every known worker is ruled out for a step now; it waits for others."""
 
@@ -315,7 +315,7 @@
     survived_s: float = 0.0
 
 
-@event("task.crashes_workers", kept=True)
+@event("task.crashes_workers", essential=True)
 class TaskCrashesWorkers:
     """A task is taken to crash its workers: its job is given up.
 
@@ -333,7 +333,7 @@
 # --- the owner ---------------------------------------------------------------------
 
 
-@event("owner.won", kept=True)
+@event("owner.won", essential=True)
 class OwnerWon:
     """This host holds the ownership now."""
 
@@ -341,7 +341,7 @@
     silent: bool
 
 
-@event("owner.took_over", kept=True)
+@event("owner.took_over", essential=True)
 class OwnerTookOver:
     """The owner has read everything; workers out of reach are waited for."""
 
@@ -353,7 +353,7 @@
     took_s: float
 
 
-@event("owner.lost", kept=True)
+@event("owner.lost", essential=True)
 class OwnerLost:
     """This host no longer holds the ownership."""
 
@@ -361,21 +361,21 @@
     reason: str
 
 
-@event("owner.released", kept=True)
+@event("owner.released", essential=True)
 class OwnerReleased:
     """The owner handed the ownership over in order."""
 
     epoch: int
 
 
-@event("owner.gives_way", kept=True)
+@event("owner.gives_way", essential=True)
 class OwnerGivesWay:
     """The owner hands over, since a host that can carry much more is live."""
 
     epoch: int
 
 
-@event("owner.suspected", kept=True)
+@event("owner.suspected", essential=True)
 class OwnerSuspected:
     """The owner seen last is taken to be dead."""
 
@@ -383,7 +383,7 @@
     evidence: str
 
 
-@event("table.silent", kept=True)
+@event("table.silent", essential=True)
 class TableSilent:
     """A transaction has no answer; `down` tells whether new work is refused."""
 
@@ -391,7 +391,7 @@
     down: bool
 
 
-@event("table.back", kept=True)
+@event("table.back", essential=True)
 class TableBack:
     """The table answers transactions again."""
 
@@ -482,15 +482,15 @@
 
 
 @event("worker.rests")
-class WorkerRests:
+class WorkerQuarantined:
     """A worker failed what it started; it draws nothing for a while."""
 
     worker: str
     rest_s: float
 
 
-@event("worker.stands_still", kept=True)
-class WorkerStandsStill:
+@event("worker.stands_still", essential=True)
+class WorkerStalled:
     """Nothing moves on a worker that answers; what cannot wait leaves it."""
 
     worker: str
@@ -499,7 +499,7 @@
     rest_s: float
 
 
-@event("wave.seen", kept=True)
+@event("wave.seen", essential=True)
 class WaveSeen:
     """The operator asked for a wave of upkeep."""
 
@@ -507,8 +507,8 @@
     machines: int
 
 
-@event("wave.told", kept=True)
-class WaveTold:
+@event("wave.told", essential=True)
+class WaveStatusWritten:
     """A wave's state was written for the operator."""
 
     wave: int
@@ -538,7 +538,7 @@
 # --- the process ---------------------------------------------------------------------
 
 
-@event("config.taken", kept=True)
+@event("config.taken", essential=True)
 class ConfigTaken:
     """A newer configuration is in force; what its reading carried, and how long."""
 
@@ -549,7 +549,7 @@
     read_s: float
 
 
-@event("config.unread", kept=True)
+@event("config.unread", essential=True)
 class ConfigUnread:
     """Readings of the configuration came to nothing; told at 1, 2, 4, 8 in a row."""
 
@@ -559,21 +559,21 @@
     reason: str
 
 
-@event("config.unreadable", kept=True)
+@event("config.unreadable", essential=True)
 class ConfigUnreadable:
     """The configuration's row cannot be read; the last stays in force."""
 
     findings: str
 
 
-@event("row.unreadable", kept=True)
+@event("row.unreadable", essential=True)
 class RowUnreadable:
     """A row of the table cannot be read; it is left as it is."""
 
     findings: str
 
 
-@event("host.readiness", kept=True)
+@event("host.readiness", essential=True)
 class HostReadiness:
     """This host became ready, or not; how long ago it heard of what it needs for it."""
 
@@ -583,14 +583,14 @@
     config_late_s: float
 
 
-@event("process.draining", kept=True)
+@event("process.draining", essential=True)
 class ProcessDraining:
     """The process was told to stop."""
 
     owner: bool
 
 
-@event("process.started", kept=True)
+@event("process.started", essential=True)
 class ProcessStarted:
     """The process listens."""
 
@@ -598,21 +598,21 @@
     data_centre: str
 
 
-@event("settings.reread", kept=True)
+@event("settings.reread", essential=True)
 class SettingsReread:
     """The settings file was read again; addresses to listen on stay as they are."""
 
     changed: tuple[str, ...]
 
 
-@event("settings.unreadable", kept=True)
+@event("settings.unreadable", essential=True)
 class SettingsUnreadable:
     """The settings file cannot be read; the last settings stay in force."""
 
     findings: str
 
 
-@event("log.left_out", kept=True)
+@event("log.left_out", essential=True)
 class LogLeftOut:
     """Lines that were left out since the last such line, by event."""
 
--- a/cranberrycleat/forward.py
+++ b/cranberrycleat/forward.py
@@ -19,8 +19,8 @@
 from cranberrycleat.http_calls import tls_context
 from cranberrycleat.standins.service import LEAVING, NOT_STARTED
 
-MAX_ANSWER: Final = 8 * 1024 * 1024
-CONNECT_S: Final = 1.0
+MAX_RESPONSE_BYTES: Final = 8 * 1024 * 1024
+CONNECT_TIMEOUT_S: Final = 1.0
 HOP_BY_HOP: Final = frozenset(
     {
         b"connection",
@@ -36,7 +36,7 @@
         b"expect",
     }
 )
-REPEATABLE: Final = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
+IDEMPOTENT_METHODS: Final = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 """Idempotent methods (RFC 9110, section 9.2.2)."""
 
 Headers = list[tuple[bytes, bytes]]
@@ -161,7 +161,7 @@
         )
         res = await transport.handle_async_request(sent)
         try:
-            body = await _read_whole(res)
+            body = await _read_body(res)
         finally:
             await res.aclose()
         if body is None:
@@ -175,7 +175,7 @@
 
 
 def _timeouts(timeout_s: float) -> dict[str, float]:
-    connect = min(CONNECT_S, timeout_s)
+    connect = min(CONNECT_TIMEOUT_S, timeout_s)
     return {
         "connect": connect,
         "read": timeout_s,
@@ -184,14 +184,14 @@
     }
 
 
-async def _read_whole(res: httpx.Response) -> bytes | None:
+async def _read_body(res: httpx.Response) -> bytes | None:
     """Read the whole body; None where it is larger than can be held."""
     parts: list[bytes] = []
     size = 0
     assert isinstance(res.stream, httpx.AsyncByteStream)
     async for part in res.stream:
         size += len(part)
-        if size > MAX_ANSWER:
+        if size > MAX_RESPONSE_BYTES:
             return None
         parts.append(part)
     return b"".join(parts)
--- a/cranberrycleat/gateway.py
+++ b/cranberrycleat/gateway.py
@@ -16,24 +16,24 @@
 import attrs
 
 from cranberrycleat import codec, errors, registry
-from cranberrycleat.admission import Gate, Pick, RequestClass
+from cranberrycleat.admission import AdmissionController, PickEndpoint, RequestClass
 from cranberrycleat.claims import (
-    CLAIM_S,
+    CLAIM_TIMEOUT_S,
     Claim,
-    Claims,
+    ClaimStore,
     Replay,
+    claim_unavailable,
     fingerprint,
-    kept,
-    no_claim,
+    stored_answer,
 )
 from cranberrycleat.clock import Clock, MonotonicClock
 from cranberrycleat.config import Configuration
 from cranberrycleat.endpoints import (
-    EndpointBook,
+    EndpointCatalog,
+    EndpointResult,
     EndpointState,
     ServiceEndpoints,
-    Verdict,
-    judge,
+    record_result,
 )
 from cranberrycleat.forward import (
     Answered,
@@ -44,7 +44,7 @@
     Unknown,
 )
 from cranberrycleat.http_server import HttpServer
-from cranberrycleat.lifecycle import Background
+from cranberrycleat.lifecycle import BackgroundTasks
 from cranberrycleat.logs import part_logger
 from cranberrycleat.messages import Digest, DigestReply
 from cranberrycleat.metrics import Metrics
@@ -55,12 +55,12 @@
 from cranberrycleat.serve import make_app
 from cranberrycleat.table_http import Platform
 from cranberrycleat.watcher import ConfigWatcher
-from cranberrycleat.writer import GroupedWriter
+from cranberrycleat.writer import BatchingWriter
 
 LOG: Final[logging.Logger] = part_logger("gateway")
-MOST_ATTEMPTS: Final = 4
+MAX_ATTEMPTS: Final = 4
 SERVER_ERROR: Final = 500
-WAIT_SHARE: Final = 0.5
+QUEUE_WAIT_FRACTION: Final = 0.5
 NO_ENDPOINT_RETRY_S: Final = 2.0
 
 
@@ -68,7 +68,7 @@
 class ServiceState:
     """What a gateway keeps for one service."""
 
-    gate: Gate
+    controller: AdmissionController
     budget: RetryBudget
 
 
@@ -93,9 +93,9 @@
     config: Configuration = Configuration()
     draining: bool = False
     in_flight: int = 0
-    book: EndpointBook = attrs.field(init=False)
+    catalog: EndpointCatalog = attrs.field(init=False)
     platform: Platform = attrs.field(init=False)
-    claims: Claims = attrs.field(init=False)
+    claims: ClaimStore = attrs.field(init=False)
     watcher: ConfigWatcher = attrs.field(init=False)
     policy: RoutingPolicy = attrs.field(init=False)
     peers: Peers = attrs.field(init=False)
@@ -103,22 +103,24 @@
     forwarder: Forwarder = attrs.field(factory=Forwarder)
     services: dict[str, ServiceState] = attrs.field(factory=dict)
     _server: HttpServer = attrs.field(init=False)
-    _background: Background = attrs.field(factory=Background)
+    _background: BackgroundTasks = attrs.field(factory=BackgroundTasks)
 
     def __attrs_post_init__(self) -> None:
         cfg = self.cfg
         make = registry.find(registry.PluginKind.TABLE, cfg.table_client)
         self.platform = make(url=cfg.platform, timeout_s=cfg.platform_timeout_s)
         self.policy = registry.find(registry.PluginKind.ROUTING, cfg.routing)()
-        self.book = EndpointBook(me=cfg.name, data_centre=cfg.data_centre)
-        writer = GroupedWriter(table=self.platform, gather_s=cfg.claim_batch_s)
-        self.claims = Claims(writer=writer)
+        self.catalog = EndpointCatalog(
+            gateway_name=cfg.name, data_centre=cfg.data_centre
+        )
+        writer = BatchingWriter(table=self.platform, batch_window_s=cfg.claim_batch_s)
+        self.claims = ClaimStore(writer=writer)
         self.watcher = ConfigWatcher(table=self.platform)
         self.peers = Peers(
             urls=cfg.peers, gossip=self, clock=self.clock, digest_s=cfg.digest_s
         )
         self.metrics = Metrics(role="gateway", name=cfg.name)
-        self.metrics.watch("in_flight", lambda: float(self.in_flight))
+        self.metrics.add_gauge("in_flight", lambda: float(self.in_flight))
         app = make_app(self.handlers(self))
         self._server = HttpServer(app=app, host=cfg.listen, port=cfg.port)
 
@@ -132,11 +134,11 @@
         await self._server.start()
         self._background.spawn(self._watch_config())
         for url in self.cfg.peers:
-            self._background.spawn(self.peers.talk_to(url))
+            self._background.spawn(self.peers.gossip_with(url))
 
     def add_peer(self, url: str) -> None:
         """Talk to one more peer."""
-        self._background.spawn(self.peers.talk_to(url))
+        self._background.spawn(self.peers.gossip_with(url))
 
     async def drain(self) -> None:
         """Not ready: go on answering until the balancer has noticed."""
@@ -167,45 +169,45 @@
             ProblemError: Not run, or outcome unknown; its code says which.
         """
         deadline = self.clock.now() + wait_s
-        self._known_service(req.service)
+        self._require_service(req.service)
         if key is None:
-            return await self._attempts(req, rank, deadline)
+            return await self._send_with_retries(req, rank, deadline)
         path = f"{req.service}{req.target}"
         mark = fingerprint(req.method, path, req.body)
         try:
-            async with asyncio.timeout(min(wait_s, CLAIM_S)):
+            async with asyncio.timeout(min(wait_s, CLAIM_TIMEOUT_S)):
                 claim = await self.claims.claim(key=key, mark=mark)
         except TimeoutError:
             # It may yet be made; the key is then taken and nothing was run.
-            raise no_claim() from None
+            raise claim_unavailable() from None
         if isinstance(claim, Replay):
-            return _replayed(claim)
-        return await self._claimed(req, claim, rank, deadline)
+            return _replay_response(claim)
+        return await self._send_claimed(req, claim, rank, deadline)
 
-    async def _claimed(
+    async def _send_claimed(
         self, req: CallerRequest, claim: Claim, rank: RequestClass, deadline: float
     ) -> Answered:
         try:
-            answered = await self._attempts(req, rank, deadline)
+            answered = await self._send_with_retries(req, rank, deadline)
         except errors.ProblemError as exc:
             if exc.code != errors.OUTCOME_UNKNOWN:
-                self._background.spawn(self.claims.settle(claim, None))
+                self._background.spawn(self.claims.record_outcome(claim, None))
             raise
         content_type = dict(answered.headers).get(b"content-type", b"").decode()
-        answer = kept(answered.status, content_type, answered.body)
-        self._background.spawn(self.claims.settle(claim, answer))
+        answer = stored_answer(answered.status, content_type, answered.body)
+        self._background.spawn(self.claims.record_outcome(claim, answer))
         return answered
 
-    async def _attempts(
+    async def _send_with_retries(
         self, req: CallerRequest, rank: RequestClass, deadline: float
     ) -> Answered:
         """Send a request until it is answered or must not be sent again."""
         tried: frozenset[str] = frozenset()
         state = self._service_state(req.service)
         last: AttemptOutcome = NotRun(reason="the time allowed has run out")
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             left = deadline - self.clock.now()
-            if left <= 0 or (attempt and not state.budget.spend()):
+            if left <= 0 or (attempt and not state.budget.withdraw()):
                 break
             try:
                 last, url = await self._attempt(req, rank, tried, left)
@@ -214,7 +216,7 @@
                     raise
                 break
             if isinstance(last, Answered) and last.status < SERVER_ERROR:
-                state.budget.earn()
+                state.budget.deposit()
                 return last
             if isinstance(last, Answered) and not req.repeatable:
                 return last
@@ -224,7 +226,7 @@
             self.metrics.count("retries_wanted")
         if isinstance(last, Answered):
             return last
-        raise _given_up(last, self._known_service(req.service).took_s)
+        raise _failure_problem(last, self._require_service(req.service).took_s)
 
     async def _attempt(
         self,
@@ -233,57 +235,61 @@
         tried: frozenset[str],
         left_s: float,
     ) -> tuple[AttemptOutcome, str]:
-        service = self._known_service(req.service)
-        gate = self._service_state(req.service).gate
+        service = self._require_service(req.service)
+        controller = self._service_state(req.service).controller
         # What could only be sent too late to be answered is refused at once;
         # half of what is left is kept for answers that take longer than most.
-        wait_s = (left_s - service.took_s) * WAIT_SHARE
+        wait_s = (left_s - service.took_s) * QUEUE_WAIT_FRACTION
         wait_s = min(wait_s, self.config.routing.queue_s)
-        state = await gate.enter(service=service, rank=rank, tried=tried, wait_s=wait_s)
+        state = await controller.acquire_slot(
+            service=service, rank=rank, tried=tried, wait_s=wait_s
+        )
         began = self.clock.now()
         url = state.endpoint.url
         try:
             self.metrics.count("sends")
             outcome = await self.forwarder.send(req, url=url, timeout_s=left_s)
-            self._judge(service, state, outcome, began)
+            self._record_attempt(service, state, outcome, began)
         finally:
-            gate.leave(state)
+            controller.release_slot(state)
         return outcome, url
 
-    def _judge(
+    def _record_attempt(
         self,
         service: ServiceEndpoints,
         state: EndpointState,
         outcome: AttemptOutcome,
         began: float,
     ) -> None:
-        verdict = Verdict.BAD
+        result = EndpointResult.BAD
         took_s = self.clock.now() - began
         match outcome:
             case Answered(status=status, leaving=leaving):
-                service.note_took(took_s)
-                state.note_took(took_s)
-                verdict = Verdict.GOOD if status < SERVER_ERROR else Verdict.BAD
-                self._note_leaving(state, leaving)
+                service.record_latency(took_s)
+                state.record_latency(took_s)
+                result = (
+                    EndpointResult.GOOD if status < SERVER_ERROR else EndpointResult.BAD
+                )
+                self._mark_leaving(state, leaving)
             case NotRun(refused=True, leaving=leaving):
-                verdict = Verdict.FULL
-                self._note_leaving(state, leaving)
+                result = EndpointResult.FULL
+                self._mark_leaving(state, leaving)
             case Unknown():
-                state.note_took(took_s)
-        judge(
+                state.record_latency(took_s)
+        record_result(
             service,
             state,
-            verdict,
+            result,
             now=self.clock.now(),
             cfg=self.config.routing,
         )
 
-    def _note_leaving(self, state: EndpointState, leaving: bool) -> None:
+    def _mark_leaving(self, state: EndpointState, leaving: bool) -> None:
         if leaving:
-            self.book.learn_leaving((state.endpoint.url,))
+            self.catalog.mark_leaving((state.endpoint.url,))
 
-    def _known_service(self, name: str) -> ServiceEndpoints:
-        service = self.book.services.get(name)
+    def _require_service(self, name: str) -> ServiceEndpoints:
+        service = self.catalog.services.get(name)
         if service is None:
             raise errors.ProblemError(
                 status=503,
@@ -297,9 +303,9 @@
         state = self.services.get(name)
         if state is None:
             state = ServiceState(
-                gate=Gate(
-                    pick=self._picker(name),
-                    most=self.cfg.max_waiting,
+                controller=AdmissionController(
+                    pick=self._endpoint_picker(name),
+                    max_waiters=self.cfg.max_waiting,
                     clock=self.clock,
                 ),
                 budget=RetryBudget(share=self.config.routing.retry_share),
@@ -307,9 +313,9 @@
             self.services[name] = state
         return state
 
-    def _picker(self, name: str) -> Pick:
+    def _endpoint_picker(self, name: str) -> PickEndpoint:
         def pick(tried: frozenset[str]) -> EndpointState | None:
-            service = self.book.services.get(name)
+            service = self.catalog.services.get(name)
             if service is None:
                 return None
             return self.policy.pick(service, now=self.clock.now(), tried=tried)
@@ -343,38 +349,38 @@
             role="gateway",
             data_centre=self.cfg.data_centre,
             config_version=self.watcher.version,
-            leaving=tuple(sorted(self.book.leaving)),
+            leaving=tuple(sorted(self.catalog.leaving)),
             draining=self.draining,
-            seen=self.book.seen(),
+            seen=self.catalog.seen(),
         )
 
-    def hear(self, reply: DigestReply) -> None:
+    def apply_reply(self, reply: DigestReply) -> None:
         """Take in what a peer knows and this process lacked."""
         for offered in reply.sets:
-            self.book.learn(offered)
-        self.book.learn_leaving(reply.digest.leaving)
+            self.catalog.merge_set(offered)
+        self.catalog.mark_leaving(reply.digest.leaving)
         if self.watcher.offer(reply.config):
             self._apply_config()
-        self._count_members()
+        self._update_gateways()
         for state in self.services.values():
-            state.gate.admit_waiting()
+            state.controller.admit_waiting()
 
-    def _count_members(self) -> None:
+    def _update_gateways(self) -> None:
         live = [each for each in self.peers.live("gateway") if not each.draining]
-        near = {e.sender for e in live if e.data_centre == self.cfg.data_centre}
-        near.add(self.cfg.name)
+        local = {e.sender for e in live if e.data_centre == self.cfg.data_centre}
+        local.add(self.cfg.name)
         names = {each.sender for each in live} | {self.cfg.name}
-        self.book.learn_members(tuple(sorted(near)), len(names))
+        self.catalog.update_gateways(tuple(sorted(local)), len(names))
 
     def answer_digest(self, asked: Digest) -> DigestReply:
         """Return what the asker lacks."""
-        self.peers.heard(asked)
-        self.book.learn_leaving(asked.leaving)
+        self.peers.record_digest(asked)
+        self.catalog.mark_leaving(asked.leaving)
         newer = self.watcher.version > asked.config_version
         known = {(s.data_centre, s.epoch, s.revision) for s in asked.seen}
         sets = tuple(
             each
-            for each in self.book.sets()
+            for each in self.catalog.sets()
             if (each.data_centre, each.epoch, each.revision) not in known
         )
         return DigestReply(
@@ -384,7 +390,7 @@
         )
 
 
-def _replayed(replay: Replay) -> Answered:
+def _replay_response(replay: Replay) -> Answered:
     if replay.answer.body is None:
         raise errors.ProblemError(status=409, code=errors.KEY_IN_USE)
     headers = [(b"idempotency-replayed", b"true")]
@@ -398,7 +404,7 @@
     )
 
 
-def _given_up(last: AttemptOutcome, took_s: float) -> errors.ProblemError:
+def _failure_problem(last: AttemptOutcome, took_s: float) -> errors.ProblemError:
     match last:
         case Unknown(reason=reason):
             return errors.ProblemError(
--- a/cranberrycleat/gateway_api.py
+++ b/cranberrycleat/gateway_api.py
@@ -13,11 +13,16 @@
 
 from cranberrycleat import codec, errors
 from cranberrycleat.admission import RequestClass
-from cranberrycleat.forward import REPEATABLE, Answered, CallerRequest, strip_headers
+from cranberrycleat.forward import (
+    IDEMPOTENT_METHODS,
+    Answered,
+    CallerRequest,
+    strip_headers,
+)
 from cranberrycleat.gateway import Gateway
 from cranberrycleat.messages import Digest, Readiness
 from cranberrycleat.serve import (
-    MAX_BODY,
+    MAX_BODY_BYTES,
     PROBLEM_TYPE,
     json_response,
     problem_of,
@@ -32,12 +37,12 @@
 TIMEOUT_HEADER: Final = b"x-timeout-ms"
 ID_HEADER: Final = b"x-request-id"
 OUTCOME_HEADER: Final = b"x-outcome"
-MOST_KEY: Final = 255
-MOST_TIMEOUT_S: Final = 3600.0
+MAX_KEY_LENGTH: Final = 255
+MAX_TIMEOUT_S: Final = 3600.0
 
 
 @attrs.frozen(kw_only=True)
-class Arrived:
+class ParsedRequest:
     """A caller's request with what it says about itself."""
 
     req: CallerRequest
@@ -75,9 +80,9 @@
         return
     gateway.in_flight += 1
     try:
-        arrived = await _read(scope, receive, gateway.config.routing.timeout_s)
+        parsed = await _read(scope, receive, gateway.config.routing.timeout_s)
         answered = await gateway.answer(
-            arrived.req, key=arrived.key, rank=arrived.rank, wait_s=arrived.wait_s
+            parsed.req, key=parsed.key, rank=parsed.rank, wait_s=parsed.wait_s
         )
         gateway.metrics.count("answered")
         await _send_answer(send, answered)
@@ -94,20 +99,20 @@
         gateway.in_flight -= 1
 
 
-async def _read(scope: Any, receive: Any, default_s: float) -> Arrived:
+async def _read(scope: Any, receive: Any, default_s: float) -> ParsedRequest:
     headers = [(name.lower(), value) for name, value in scope["headers"]]
-    named = dict(headers)
+    by_name = dict(headers)
     path = scope["path"].removeprefix(MOUNT).lstrip("/")
     service, _, rest = path.partition("/")
     query = scope["query_string"].decode("latin-1")
     found = errors.Findings()
-    key = _key(named, found)
-    rank = _rank(named, found)
-    wait_s = _timeout(named, default_s, found)
+    key = _key(by_name, found)
+    rank = _rank(by_name, found)
+    wait_s = _timeout(by_name, default_s, found)
     if found.items:
         raise errors.FindingsError(findings=found.sorted())
     passed = strip_headers(headers)
-    if ID_HEADER not in named:
+    if ID_HEADER not in by_name:
         passed.append((ID_HEADER, secrets.token_hex(8).encode()))
     method = scope["method"]
     req = CallerRequest(
@@ -116,27 +121,27 @@
         target="/" + rest + ("?" + query if query else ""),
         headers=passed,
         body=await _read_body(receive),
-        repeatable=method in REPEATABLE and key is None,
+        repeatable=method in IDEMPOTENT_METHODS and key is None,
     )
-    return Arrived(req=req, key=key, rank=rank, wait_s=wait_s)
+    return ParsedRequest(req=req, key=key, rank=rank, wait_s=wait_s)
 
 
-def _key(named: dict[bytes, bytes], found: errors.Findings) -> str | None:
-    if KEY_HEADER not in named:
+def _key(by_name: dict[bytes, bytes], found: errors.Findings) -> str | None:
+    if KEY_HEADER not in by_name:
         return None
-    key = named[KEY_HEADER].decode("latin-1")
-    if not 0 < len(key) <= MOST_KEY:
+    key = by_name[KEY_HEADER].decode("latin-1")
+    if not 0 < len(key) <= MAX_KEY_LENGTH:
         found.add(
             "header Idempotency-Key",
             errors.BAD_VALUE,
             value=key[:40],
-            allowed=f"1 to {MOST_KEY} characters",
+            allowed=f"1 to {MAX_KEY_LENGTH} characters",
         )
     return key
 
 
-def _rank(named: dict[bytes, bytes], found: errors.Findings) -> RequestClass:
-    text = named.get(CLASS_HEADER, b"normal").decode("latin-1")
+def _rank(by_name: dict[bytes, bytes], found: errors.Findings) -> RequestClass:
+    text = by_name.get(CLASS_HEADER, b"normal").decode("latin-1")
     names = [each.name.lower() for each in RequestClass]
     if text not in names:
         found.add(
@@ -147,18 +152,18 @@
 
 
 def _timeout(
-    named: dict[bytes, bytes], default_s: float, found: errors.Findings
+    by_name: dict[bytes, bytes], default_s: float, found: errors.Findings
 ) -> float:
-    if TIMEOUT_HEADER not in named:
+    if TIMEOUT_HEADER not in by_name:
         return default_s
-    text = named[TIMEOUT_HEADER].decode("latin-1")
-    if text.isdigit() and 0 < int(text) <= MOST_TIMEOUT_S * 1000:
+    text = by_name[TIMEOUT_HEADER].decode("latin-1")
+    if text.isdigit() and 0 < int(text) <= MAX_TIMEOUT_S * 1000:
         return int(text) / 1000
     found.add(
         "header X-Timeout-Ms",
         errors.BAD_VALUE,
         value=text,
-        allowed=f"1 to {int(MOST_TIMEOUT_S * 1000)}",
+        allowed=f"1 to {int(MAX_TIMEOUT_S * 1000)}",
     )
     return default_s
 
@@ -173,9 +178,9 @@
                 status=400, code=errors.MALFORMED, reason="the body broke off"
             )
         size += len(event.get("body", b""))
-        if size > MAX_BODY:
+        if size > MAX_BODY_BYTES:
             raise errors.ProblemError(
-                status=413, code=errors.TOO_LARGE, size="the body", limit=MAX_BODY
+                status=413, code=errors.TOO_LARGE, size="the body", limit=MAX_BODY_BYTES
             )
         parts.append(event.get("body", b""))
         if not event.get("more_body"):
@@ -218,9 +223,9 @@
         "draining": gateway.draining,
         "in_flight": gateway.in_flight,
         "config": gateway.watcher.current,
-        "members": gateway.book.members,
-        "sets": gateway.book.sets(),
-        "leaving": sorted(gateway.book.leaving),
+        "members": gateway.catalog.members,
+        "sets": gateway.catalog.sets(),
+        "leaving": sorted(gateway.catalog.leaving),
         "services": {
             name: [
                 {
@@ -233,7 +238,7 @@
                 }
                 for state in service.all()
             ]
-            for name, service in gateway.book.services.items()
+            for name, service in gateway.catalog.services.items()
         },
         "peers": [peer.last for peer in gateway.peers.known.values()],
     }
--- a/cranberrycleat/history.py
+++ b/cranberrycleat/history.py
@@ -12,9 +12,9 @@
 
 from cranberrycleat.amounts import NOTHING, Amounts
 
-SMOOTHING: Final = 0.2
-MOST_FAMILIES: Final = 4096
-BAD_ON: Final = 2
+SMOOTHING_FACTOR: Final = 0.2
+MAX_FAMILIES: Final = 4096
+MIN_FAILED_WORKERS: Final = 2
 """A job that failed on so many workers is the one to blame, not the next."""
 
 _NUMBERS: Final = re.compile(r"(-\d+)+$")
@@ -45,19 +45,19 @@
     families: dict[str, Family] = attrs.field(factory=dict)
     _failed_on: dict[str, set[str]] = attrs.field(factory=dict)
 
-    def note_run(self, job: str, run_s: float) -> None:
+    def record_run(self, job: str, run_s: float) -> None:
         """Take in how long a task ran to its end."""
         family = self._family(job)
         if family.run_s == 0.0:
             family.run_s = run_s
         else:
-            family.run_s += SMOOTHING * (run_s - family.run_s)
+            family.run_s += SMOOTHING_FACTOR * (run_s - family.run_s)
 
-    def note_use(self, job: str, used: Amounts) -> None:
+    def record_usage(self, job: str, used: Amounts) -> None:
         """Take in what a task was seen to use."""
         family = self._family(job)
         if not used.fits_in(family.peak):
-            family.peak = family.peak.larger(used)
+            family.peak = family.peak.elementwise_max(used)
 
     def run_s(self, job: str, declared_s: float) -> float:
         """Return how long a task is expected to run; 0 for unknown."""
@@ -71,12 +71,12 @@
         family = self.families.get(family_of(job))
         if family is None or family.peak.fits_in(declared):
             return declared
-        return declared.larger(family.peak)
+        return declared.elementwise_max(family.peak)
 
-    def blames_worker(self, job: str, worker: str) -> bool:
+    def record_failed_start(self, job: str, worker: str) -> bool:
         """Take in a failed start; tell whether it speaks against the worker."""
         failed_on = self._failed_on.setdefault(job, set())
-        known_bad = len(failed_on - {worker}) >= BAD_ON
+        known_bad = len(failed_on - {worker}) >= MIN_FAILED_WORKERS
         failed_on.add(worker)
         return not known_bad
 
@@ -88,7 +88,7 @@
         name = family_of(job)
         family = self.families.get(name)
         if family is None:
-            if len(self.families) >= MOST_FAMILIES:
+            if len(self.families) >= MAX_FAMILIES:
                 # The oldest goes: dicts keep the order in which they grew.
                 del self.families[next(iter(self.families))]
             family = self.families[name] = Family()
--- a/cranberrycleat/http_calls.py
+++ b/cranberrycleat/http_calls.py
@@ -16,7 +16,7 @@
 from cranberrycleat import codec, errors
 
 T = TypeVar("T")
-KEEP_S: Final = 60.0
+KEEPALIVE_EXPIRY_S: Final = 60.0
 """Idle connections are kept for less time than servers keep them, which is 75 s
 (`serve.KEEP_ALIVE_S`), and for longer than the pause between two syncs."""
 Params = dict[str, str] | None
@@ -58,7 +58,7 @@
         """Close connections."""
         await self._transport.aclose()
 
-    async def exchange(
+    async def send_request(
         self, method: str, url: str, content: bytes | None, params: Params
     ) -> httpx.Response:
         """Send one request and return its whole answer.
@@ -89,7 +89,7 @@
     limits = httpx.Limits(
         max_connections=connections,
         max_keepalive_connections=connections,
-        keepalive_expiry=KEEP_S,
+        keepalive_expiry=KEEPALIVE_EXPIRY_S,
     )
     transport = httpx.AsyncHTTPTransport(limits=limits, verify=tls_context())
     return JsonClient(timeout_s=timeout_s, transport=transport)
@@ -112,7 +112,7 @@
     """
     content = None if message is None else codec.encode(message)
     try:
-        res = await client.exchange(method, url, content, params)
+        res = await client.send_request(method, url, content, params)
     except (httpx.HTTPError, httpx.InvalidURL) as exc:
         raise errors.PeerUnavailable(f"{url}: {exc!r}") from exc
     if res.status_code >= 400:
--- a/cranberrycleat/http_client.py
+++ b/cranberrycleat/http_client.py
@@ -13,7 +13,7 @@
 import attrs
 
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
-KEEP_S: Final = 50.0
+KEEPALIVE_EXPIRY_S: Final = 50.0
 """Idle connections are kept, since new ones are priced; below a server's 75 s."""
 
 
@@ -29,11 +29,11 @@
         self.sent = sent
 
 
-class ConnectionGone(NoAnswer):
+class ConnectionClosed(NoAnswer):
     """The connection that a request was for is closed; nothing was sent."""
 
 
-class TooLong(NoAnswer):
+class ResponseTooLarge(NoAnswer):
     """The answer has more bytes than were wanted; it was not read to its end."""
 
 
@@ -53,7 +53,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Reading:
+class _BodyReader:
     """How far the reading of one answer has come.
 
     Attributes:
@@ -64,21 +64,24 @@
     """
 
     parts: list[bytes] = attrs.field(factory=list)
-    got: int = 0
+    received_bytes: int = 0
     expected: int | None = None
-    most: int | None = None
+    limit_bytes: int | None = None
 
-    def take(self, part: bytes) -> None:
+    def add_part(self, part: bytes) -> None:
         """Take in what came."""
         self.parts.append(part)
-        self.got += len(part)
+        self.received_bytes += len(part)
 
-    def is_too_long(self) -> bool:
+    def is_too_large(self) -> bool:
         """Tell whether more bytes come than are wanted."""
-        return self.most is not None and max(self.got, self.expected or 0) > self.most
+        return (
+            self.limit_bytes is not None
+            and max(self.received_bytes, self.expected or 0) > self.limit_bytes
+        )
 
     def __str__(self) -> str:
-        return f"{self.got} of {self.expected or 'unknown'} bytes"
+        return f"{self.received_bytes} of {self.expected or 'unknown'} bytes"
 
 
 class _NotConnected(aiohttp.ClientConnectionError):
@@ -94,8 +97,8 @@
         opened: How many were opened so far.
     """
 
-    most_connections: int = 0
-    opened: int = 0
+    max_connections: int = 0
+    connections_opened: int = 0
     _session: aiohttp.ClientSession | None = None
 
     async def call(
@@ -108,8 +111,8 @@
         params: dict[str, str] | None = None,
         timeout_s: float,
         stall_s: float | None = None,
-        most_bytes: int | None = None,
-        over: int | None = None,
+        max_bytes: int | None = None,
+        required_connection: int | None = None,
     ) -> HttpReply:
         """Send one request and return its whole answer.
 
@@ -136,10 +139,15 @@
             TooLong: The answer has more bytes than were wanted.
             NoAnswer: No whole answer came within the time.
         """
-        if over is not None and over != self.opened:
-            raise ConnectionGone(f"{url}: connection {over} is closed", sent=False)
+        if (
+            required_connection is not None
+            and required_connection != self.connections_opened
+        ):
+            raise ConnectionClosed(
+                f"{url}: connection {required_connection} is closed", sent=False
+            )
         session = self._open()
-        reading = _Reading(most=most_bytes)
+        reading = _BodyReader(limit_bytes=max_bytes)
         try:
             async with asyncio.timeout(timeout_s) as limit:
                 async with session.request(
@@ -149,7 +157,7 @@
                     headers={**JSON_HEADERS, **(headers or {})},
                     params=params,
                     allow_redirects=False,
-                    trace_request_ctx=over,
+                    trace_request_ctx=required_connection,
                 ) as res:
                     if stall_s is not None:
                         # No limit on the whole, however long: begun anew, the
@@ -157,7 +165,7 @@
                         limit.reschedule(None)
                     return await _read(res, reading, stall_s)
         except _NotConnected as exc:
-            raise ConnectionGone(f"{url}: {exc}", sent=False) from exc
+            raise ConnectionClosed(f"{url}: {exc}", sent=False) from exc
         except aiohttp.ClientConnectorError as exc:
             raise NoAnswer(f"{url}: {exc!r}", sent=False) from exc
         except (aiohttp.ClientError, OSError, TimeoutError) as exc:
@@ -167,27 +175,29 @@
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
-                    limit=self.most_connections,
-                    keepalive_timeout=KEEP_S,
+                    limit=self.max_connections,
+                    keepalive_timeout=KEEPALIVE_EXPIRY_S,
                     use_dns_cache=False,
                 ),
-                trace_configs=[self._trace()],
+                trace_configs=[self._connection_trace()],
                 timeout=aiohttp.ClientTimeout(total=None, sock_connect=None),
                 auto_decompress=False,
                 cookie_jar=aiohttp.DummyCookieJar(),
             )
         return self._session
 
-    def _trace(self) -> aiohttp.TraceConfig:
+    def _connection_trace(self) -> aiohttp.TraceConfig:
         """Return a trace that counts connections, and refuses those not allowed."""
 
-        async def opens(_: object, ctx: SimpleNamespace, __: object) -> None:
+        async def on_connection_create(
+            _: object, ctx: SimpleNamespace, __: object
+        ) -> None:
             if ctx.trace_request_ctx is not None:
                 raise _NotConnected(f"connection {ctx.trace_request_ctx} is closed")
-            self.opened += 1
+            self.connections_opened += 1
 
         trace = aiohttp.TraceConfig()
-        trace.on_connection_create_start.append(opens)
+        trace.on_connection_create_start.append(on_connection_create)
         return trace
 
     async def close(self) -> None:
@@ -197,17 +207,19 @@
 
 
 async def _read(
-    res: aiohttp.ClientResponse, reading: _Reading, stall_s: float | None
+    res: aiohttp.ClientResponse, reading: _BodyReader, stall_s: float | None
 ) -> HttpReply:
     """Read an answer that has begun."""
     began = _now()
     reading.expected = res.content_length
-    while not reading.is_too_long() and (
+    while not reading.is_too_large() and (
         part := await _next_part(res.content, stall_s)
     ):
-        reading.take(part)
-    if reading.is_too_long():
-        raise TooLong(f"{res.url}: {reading}, {reading.most} wanted", sent=True)
+        reading.add_part(part)
+    if reading.is_too_large():
+        raise ResponseTooLarge(
+            f"{res.url}: {reading}, {reading.limit_bytes} wanted", sent=True
+        )
     body = b"".join(reading.parts)
     return HttpReply(status=res.status, body=body, read_s=_now() - began)
 
--- a/cranberrycleat/http_server.py
+++ b/cranberrycleat/http_server.py
@@ -12,7 +12,7 @@
 
 from cranberrycleat import early_listen
 
-DRAIN_S: Final = 30.0
+SHUTDOWN_TIMEOUT_S: Final = 30.0
 KEEP_ALIVE_S: Final = 75
 
 
@@ -48,12 +48,12 @@
             server_header=False,
             lifespan="off",
             timeout_keep_alive=KEEP_ALIVE_S,
-            timeout_graceful_shutdown=int(DRAIN_S),
+            timeout_graceful_shutdown=int(SHUTDOWN_TIMEOUT_S),
         )
-        server = _QuietServer(cfg)
+        server = _EmbeddedServer(cfg)
         self._server = server
-        early = early_listen.take(self.host, self.port)
-        sockets = None if early is None else [early]
+        early_socket = early_listen.take_socket(self.host, self.port)
+        sockets = None if early_socket is None else [early_socket]
         self._task = asyncio.create_task(server.serve(sockets=sockets))
         while not server.started:
             if self._task.done():
@@ -70,7 +70,7 @@
         """Stop listening and let requests in flight finish."""
         if self._server is not None and self._task is not None:
             self._server.should_exit = True
-            await asyncio.wait([self._task], timeout=DRAIN_S + 1)
+            await asyncio.wait([self._task], timeout=SHUTDOWN_TIMEOUT_S + 1)
 
     async def kill(self) -> None:
         """Stop at once, breaking off requests in flight."""
@@ -79,10 +79,10 @@
             self._server.force_exit = True
             for conn in list(self._server.server_state.connections):
                 conn.transport.abort()
-            await asyncio.wait([self._task], timeout=DRAIN_S)
+            await asyncio.wait([self._task], timeout=SHUTDOWN_TIMEOUT_S)
 
 
-class _QuietServer(uvicorn.Server):
+class _EmbeddedServer(uvicorn.Server):
     """A server that leaves signals to the process and never exits it."""
 
     def capture_signals(self) -> Any:
--- a/cranberrycleat/book.py
+++ b/cranberrycleat/inventory.py
@@ -25,8 +25,8 @@
 
 QUARANTINE_AFTER: Final = 3
 """Starts that failed in a row before a worker draws no more work."""
-PROBE_S: Final = 60.0
-MOST_RESTS: Final = 6
+QUARANTINE_S: Final = 60.0
+MAX_QUARANTINE_DOUBLINGS: Final = 6
 
 
 class WorkerState(enum.Enum):
@@ -43,7 +43,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class BookWorker:
+class InventoryWorker:
     """A worker as the book knows it.
 
     Attributes:
@@ -70,26 +70,26 @@
     tasks: dict[str, Amounts] = attrs.field(factory=dict)
     state: WorkerState = WorkerState.LIVE
     failures: int = 0
-    held_until: float = 0.0
+    reserved_until: float = 0.0
     probe_at: float = math.inf
-    rests: int = 0
-    drew_in: int = -1
+    quarantines: int = 0
+    last_allocated_round: int = -1
     round: int = 0
 
-    def may_draw(self) -> bool:
+    def may_accept_work(self) -> bool:
         """Tell whether it may draw work in this round.
 
         After a failure it draws one task a round until something succeeds.
         """
         if self.state is not WorkerState.LIVE:
             return False
-        return not self.failures or self.drew_in != self.round
+        return not self.failures or self.last_allocated_round != self.round
 
     def __attrs_post_init__(self) -> None:
         self.free = self.capacity.minus(self.used)
 
     @property
-    def overfull(self) -> bool:
+    def overcommitted(self) -> bool:
         """Whether reports showed more in use than there is."""
         return not NOTHING.fits_in(self.free)
 
@@ -97,7 +97,7 @@
 _SortKey = tuple[int, int, int, str]
 
 
-def _sort_key(worker: BookWorker) -> _SortKey:
+def _sort_key(worker: InventoryWorker) -> _SortKey:
     free = worker.free
     return (free.accelerators, free.processors, free.memory_mb, worker.name)
 
@@ -113,35 +113,35 @@
     """
 
     selector: Selector
-    members: dict[str, BookWorker] = attrs.field(factory=dict)
-    racks: dict[str, list[BookWorker]] = attrs.field(factory=dict)
+    members: dict[str, InventoryWorker] = attrs.field(factory=dict)
+    racks: dict[str, list[InventoryWorker]] = attrs.field(factory=dict)
     _order: list[_SortKey] = attrs.field(factory=list)
 
-    def add(self, worker: BookWorker) -> None:
+    def add(self, worker: InventoryWorker) -> None:
         """Take in a matching worker."""
         self.members[worker.name] = worker
         self.racks.setdefault(worker.rack, []).append(worker)
         bisect.insort(self._order, _sort_key(worker))
 
-    def remove(self, worker: BookWorker) -> None:
+    def remove(self, worker: InventoryWorker) -> None:
         """Leave out a worker."""
         del self.members[worker.name]
         self.racks[worker.rack].remove(worker)
         if not self.racks[worker.rack]:
             del self.racks[worker.rack]
-        self._drop(_sort_key(worker))
+        self._remove_key(_sort_key(worker))
 
-    def moved(self, worker: BookWorker, old: _SortKey) -> None:
+    def reposition(self, worker: InventoryWorker, old: _SortKey) -> None:
         """Put a worker in its new place in the order."""
-        self._drop(old)
+        self._remove_key(old)
         bisect.insort(self._order, _sort_key(worker))
 
-    def _drop(self, key: _SortKey) -> None:
+    def _remove_key(self, key: _SortKey) -> None:
         del self._order[bisect.bisect_left(self._order, key)]
 
-    def tightest(
+    def best_fit(
         self, needs: Amounts, *, ends_by: float = -math.inf
-    ) -> BookWorker | None:
+    ) -> InventoryWorker | None:
         """Return the live worker with the least room that still fits.
 
         Workers with fewer free accelerators go first, so that those that have
@@ -163,20 +163,20 @@
             if memory_mb < needs.memory_mb:
                 continue
             worker = self.members[name]
-            if worker.held_until and ends_by > worker.held_until:
+            if worker.reserved_until and ends_by > worker.reserved_until:
                 continue
-            if worker.may_draw() and needs.fits_in(worker.free):
+            if worker.may_accept_work() and needs.fits_in(worker.free):
                 return worker
         return None
 
-    def roomiest(self) -> Iterator[BookWorker]:
+    def most_free_first(self) -> Iterator[InventoryWorker]:
         """Return the workers, those with the most room first."""
         for key in reversed(self._order):
             yield self.members[key[3]]
 
 
 @attrs.define(kw_only=True, eq=False)
-class CapacityBook:
+class WorkerInventory:
     """Every worker of a shard, with what is on it.
 
     Attributes:
@@ -185,46 +185,50 @@
         changes: Grows when workers come, go or are relabelled.
     """
 
-    workers: dict[str, BookWorker] = attrs.field(factory=dict)
+    workers: dict[str, InventoryWorker] = attrs.field(factory=dict)
     round: int = 0
-    changes: int = 0
+    membership_revision: int = 0
     _pools: dict[Selector, Pool] = attrs.field(factory=dict)
-    _overfull: set[str] = attrs.field(factory=set)
-    _watched: set[str] = attrs.field(factory=set)
+    _overcommitted: set[str] = attrs.field(factory=set)
+    _with_failures: set[str] = attrs.field(factory=set)
 
     def begin_round(self, now: float) -> None:
         """Begin a round: workers that failed may draw one more task each."""
         self.round += 1
-        for name in list(self._watched):
+        for name in list(self._with_failures):
             worker = self.workers.get(name)
             if worker is None:
-                self._watched.discard(name)
+                self._with_failures.discard(name)
                 continue
             worker.round = self.round
             if worker.state is WorkerState.QUARANTINED:
-                self._rest_or_probe(worker, now)
+                self._update_quarantine(worker, now)
             elif not worker.failures:
-                self._watched.discard(name)
+                self._with_failures.discard(name)
 
-    def _rest_or_probe(self, worker: BookWorker, now: float) -> None:
+    def _update_quarantine(self, worker: InventoryWorker, now: float) -> None:
         """Try a quarantined worker again after a rest that doubles each time."""
         if worker.probe_at == math.inf:
-            worker.probe_at = now + PROBE_S * 2 ** min(worker.rests, MOST_RESTS)
-            worker.rests += 1
+            worker.probe_at = now + QUARANTINE_S * 2 ** min(
+                worker.quarantines, MAX_QUARANTINE_DOUBLINGS
+            )
+            worker.quarantines += 1
         elif now >= worker.probe_at:
             worker.probe_at = math.inf
             worker.state = WorkerState.LIVE
             worker.failures = QUARANTINE_AFTER - 1
 
-    def take_overfull(self) -> tuple[BookWorker, ...]:
+    def overcommitted_workers(self) -> tuple[InventoryWorker, ...]:
         """Return workers that a report has pushed over their capacity."""
-        names = [name for name in self._overfull if name in self.workers]
-        self._overfull = {name for name in names if self.workers[name].overfull}
-        return tuple(self.workers[name] for name in sorted(self._overfull))
+        names = [name for name in self._overcommitted if name in self.workers]
+        self._overcommitted = {
+            name for name in names if self.workers[name].overcommitted
+        }
+        return tuple(self.workers[name] for name in sorted(self._overcommitted))
 
-    def add_worker(self, worker: BookWorker) -> None:
+    def add_worker(self, worker: InventoryWorker) -> None:
         """Take in a worker that is not in the book yet."""
-        self.changes += 1
+        self.membership_revision += 1
         self.workers[worker.name] = worker
         for pool in self._pools.values():
             if pool.selector.matches(worker.labels):
@@ -232,7 +236,7 @@
 
     def remove_worker(self, name: str) -> None:
         """Forget a worker that has no tasks left."""
-        self.changes += 1
+        self.membership_revision += 1
         worker = self.workers.pop(name)
         for pool in self._pools.values():
             if name in pool.members:
@@ -240,7 +244,7 @@
 
     def relabel(self, name: str, labels: dict[str, str]) -> None:
         """Give a worker new labels; what it runs stays."""
-        self.changes += 1
+        self.membership_revision += 1
         worker = self.workers[name]
         for pool in self._pools.values():
             if name in pool.members:
@@ -261,7 +265,7 @@
             self._pools[selector] = pool
         return pool
 
-    def reserve(self, name: str, task: str, needs: Amounts) -> None:
+    def allocate(self, name: str, task: str, needs: Amounts) -> None:
         """Count a task on a worker.
 
         Raises:
@@ -270,34 +274,36 @@
         worker = self.workers[name]
         if task in worker.tasks or not needs.fits_in(worker.free):
             raise CapacityError(f"{task} on {name}")
-        worker.drew_in = self.round
-        self._set(worker, task, needs)
+        worker.last_allocated_round = self.round
+        self._set_allocation(worker, task, needs)
 
     def adopt(self, name: str, task: str, needs: Amounts) -> None:
         """Count a task that is found to be on a worker, fitting or not."""
-        self._set(self.workers[name], task, needs)
+        self._set_allocation(self.workers[name], task, needs)
 
     def report(self, name: str, task: str, declared: Amounts, used: Amounts) -> None:
         """Take in what a worker says a task uses."""
         worker = self.workers[name]
         if task in worker.tasks:
-            self._set(worker, task, declared.larger(used))
-            if worker.overfull:
-                self._overfull.add(name)
+            self._set_allocation(worker, task, declared.elementwise_max(used))
+            if worker.overcommitted:
+                self._overcommitted.add(name)
 
-    def recount(self, name: str, task: str, needs: Amounts) -> None:
+    def set_needs(self, name: str, task: str, needs: Amounts) -> None:
         """Count a task with other amounts, as when it has been throttled."""
         worker = self.workers[name]
         if task in worker.tasks:
-            self._set(worker, task, needs)
+            self._set_allocation(worker, task, needs)
 
     def release(self, name: str, task: str) -> None:
         """Stop counting a task that is proved to be gone; idempotent."""
         worker = self.workers.get(name)
         if worker is not None and task in worker.tasks:
-            self._set(worker, task, None)
+            self._set_allocation(worker, task, None)
 
-    def _set(self, worker: BookWorker, task: str, needs: Amounts | None) -> None:
+    def _set_allocation(
+        self, worker: InventoryWorker, task: str, needs: Amounts | None
+    ) -> None:
         old_key = _sort_key(worker)
         old = worker.tasks.pop(task, NOTHING)
         if needs is not None:
@@ -306,19 +312,19 @@
         worker.free = worker.capacity.minus(worker.used)
         for pool in self._pools.values():
             if worker.name in pool.members:
-                pool.moved(worker, old_key)
+                pool.reposition(worker, old_key)
 
     def start_succeeded(self, name: str) -> None:
         """Note that a worker started what it was given."""
         worker = self.workers[name]
         worker.failures = 0
-        worker.rests = 0
+        worker.quarantines = 0
 
     def start_failed(self, name: str) -> None:
         """Note that a worker failed what it was given; enough, and it rests."""
         worker = self.workers[name]
         worker.failures += 1
-        worker.round = worker.drew_in = self.round
-        self._watched.add(name)
+        worker.round = worker.last_allocated_round = self.round
+        self._with_failures.add(name)
         if worker.failures >= QUARANTINE_AFTER and worker.state is WorkerState.LIVE:
             worker.state = WorkerState.QUARANTINED
--- a/cranberrycleat/jobs.py
+++ b/cranberrycleat/jobs.py
@@ -32,14 +32,14 @@
     GANG = "gang"
 
 
-class WhenCut(enum.Enum):
+class PartitionPolicy(enum.Enum):
     """What a job's tasks do when their data centre is cut off."""
 
     KEEP = "keep"
     RELEASE = "release"
 
 
-class Yield(enum.Enum):
+class PreemptionMode(enum.Enum):
     """How a task makes room for more urgent work."""
 
     CHECKPOINT = "checkpoint"
@@ -124,8 +124,8 @@
     selector: str = ""
     priority: str = "normal"
     run_s: float = 0.0
-    when_cut: WhenCut | None = None
-    gives_way: Yield = Yield.STOP
+    when_cut: PartitionPolicy | None = None
+    gives_way: PreemptionMode = PreemptionMode.STOP
     retries: int = 2
     program: Program = Program()
 
@@ -149,7 +149,7 @@
         """Whether its tasks go on in a data centre that is cut off."""
         if self.when_cut is None:
             return self.kind is Kind.SERVICE
-        return self.when_cut is WhenCut.KEEP
+        return self.when_cut is PartitionPolicy.KEEP
 
 
 @attrs.define(kw_only=True)
@@ -193,7 +193,7 @@
     reasons: list[str] = attrs.field(factory=list)
 
 
-class JobStatusWords:
+class JobStatusValues:
     """The words of a job's status that end it, and those that are bad."""
 
     ENDED: Final = frozenset(
@@ -297,28 +297,28 @@
 def _check_values(spec: JobSpec, place: str) -> tuple[errors.Finding, ...]:
     found = errors.Findings()
 
-    def need(holds: bool, field: str, allowed: str) -> None:
+    def require(holds: bool, field: str, allowed: str) -> None:
         if not holds:
             value = getattr(spec, field)
             found.add(
                 f"{place}.{field}", errors.BAD_VALUE, value=value, allowed=allowed
             )
 
-    need(NAME.fullmatch(spec.name) is not None, "name", NAME_RULE)
-    need(NAME.fullmatch(spec.team) is not None, "team", NAME_RULE)
-    need(1 <= spec.tasks <= MAX_TASKS, "tasks", f"1 to {MAX_TASKS}")
-    need(
+    require(NAME.fullmatch(spec.name) is not None, "name", NAME_RULE)
+    require(NAME.fullmatch(spec.team) is not None, "team", NAME_RULE)
+    require(1 <= spec.tasks <= MAX_TASKS, "tasks", f"1 to {MAX_TASKS}")
+    require(
         0 < spec.processors <= MAX_PROCESSORS,
         "processors",
         f"more than 0, up to {MAX_PROCESSORS}",
     )
-    need(0 < spec.memory_mb <= MAX_MEMORY_MB, "memory_mb", f"1 to {MAX_MEMORY_MB}")
-    need(0 <= spec.accelerators <= 64, "accelerators", "0 to 64")
-    need(0 <= spec.slots <= 4096, "slots", "0 to 4096")
-    need(0 <= spec.run_s, "run_s", "0 or more seconds")
-    need(0 <= spec.retries <= 100, "retries", "0 to 100")
+    require(0 < spec.memory_mb <= MAX_MEMORY_MB, "memory_mb", f"1 to {MAX_MEMORY_MB}")
+    require(0 <= spec.accelerators <= 64, "accelerators", "0 to 64")
+    require(0 <= spec.slots <= 4096, "slots", "0 to 4096")
+    require(0 <= spec.run_s, "run_s", "0 or more seconds")
+    require(0 <= spec.retries <= 100, "retries", "0 to 100")
     ranks = [each.name.lower() for each in Priority]
-    need(spec.priority in ranks, "priority", ", ".join(ranks))
+    require(spec.priority in ranks, "priority", ", ".join(ranks))
     try:
         selectors.parse(spec.selector, place=f"{place}.selector")
     except errors.FindingsError as exc:
