--- a/cranberrycleat/lease.py
+++ b/cranberrycleat/lease.py
@@ -41,28 +41,28 @@
     Transaction,
 )
 
-RELEASE_TRIES: Final = 3
+RELEASE_ATTEMPTS: Final = 3
 """A release without an answer is sent again: it saves a candidate the wait."""
-DOUBT_S: Final = 0.2
+ROW_CHECK_AFTER_S: Final = 0.2
 """A write without an answer for so long may have lost it: the row is looked at.
 Ten times what a calm table takes with its way."""
-SLOW_S: Final = 0.15
+SLOW_WRITE_S: Final = 0.15
 """A write that took longer tells of a slow table; a calm one takes 0.01 s."""
-SLOWEST_S: Final = 1.0
+MAX_COUNTED_WRITE_S: Final = 1.0
 """Slower writes than this do not make the lease any longer: nobody else can own
 while it runs, and a dead holder must be followed."""
-SLOW_WRITES: Final = 2.0
+LEASE_EXTENSION_WRITES: Final = 2.0
 """A candidate sees a change late by its own look (half a write's time) and the
 next write takes a whole one; with one write's time for jitter."""
-CUT_OFF_S: Final = 1.0
+ISOLATED_AFTER_S: Final = 1.0
 """Without a look at the row for so long a candidate was cut off from the table;
 looks come each 0.25 s and take 0.5 s in a slowed table."""
-FADES: Final = 2 / 3
+STRENGTH_DECAY: Final = 2 / 3
 """Of a strength that stands in the row, what a lesser host that takes over leaves of
 it until it has settled. So candidates go on looking out for better hosts after a
 takeover that came to nothing, but not for ever: twice where these are four times as
 strong."""
-DRIFT: Final = 0.01
+MAX_CLOCK_DRIFT: Final = 0.01
 """The largest difference in clock rates that is allowed for, as a share."""
 
 
@@ -100,7 +100,7 @@
     deletes: tuple[str, ...] = ()
 
 
-class Deposed(Exception):
+class LeaseLost(Exception):
     """Another process holds the lease; nothing of the write took effect."""
 
 
@@ -138,28 +138,28 @@
     is_dead: Callable[[str], bool] = lambda holder: False
     strength: float = 0.0
     defer_s: Callable[[OwnerRow], float] = lambda row: 0.0
-    takeover_silent: bool = False
-    acts_on_s: float = 0.0
+    takeover_unreleased: bool = False
+    grants_outlive_lease_s: float = 0.0
     inherited_s: float = 0.0
     carries_bytes_s: float = float("inf")
     _inherited_until: float = float("-inf")
     _held: OwnerRow | None = None
     _held_version: int = ABSENT
     _valid_until: float = float("-inf")
-    _seen: Row | None = None
-    _seen_at: float = float("-inf")
-    _took_s: float = 0.0
-    _looked_at: float = float("inf")
-    _was_cut_off: bool = False
+    _observed_row: Row | None = None
+    _observed_at: float = float("-inf")
+    _last_write_s: float = 0.0
+    _last_read_at: float = float("inf")
+    _was_isolated: bool = False
     _free_since: float | None = None
     _pending: OwnerRow | None = None
     _pending_changes: Changes = Changes()
     _pending_since: float = float("-inf")
-    _pending_silent: bool = False
-    _heard_at: float = float("-inf")
-    _settled: bool = False
+    _pending_unreleased: bool = False
+    _last_answer_at: float = float("-inf")
+    _established: bool = False
 
-    def authority(self) -> bool:
+    def is_valid(self) -> bool:
         """Tell whether this process is the owner at this very moment."""
         return self.clock.now() < self.valid_until()
 
@@ -175,29 +175,31 @@
         """
         if self._pending is None:
             return 0.0
-        return max(0.0, self.clock.now() - max(self._pending_since, self._heard_at))
+        return max(
+            0.0, self.clock.now() - max(self._pending_since, self._last_answer_at)
+        )
 
     @property
     def is_holder(self) -> bool:
         """Whether this process was the last known holder, lapsed or not."""
         return self._held is not None
 
-    def seen(self) -> OwnerRow | None:
+    def latest_row(self) -> OwnerRow | None:
         """Return the newest row seen, this process's own or another's."""
         if self._held is not None:
             return self._held
-        if self._seen is None:
+        if self._observed_row is None:
             return None
-        return codec.decode(self._seen.value, OwnerRow, place=self.key)
+        return codec.decode(self._observed_row.value, OwnerRow, place=self.key)
 
-    def depose(self) -> None:
+    def mark_lost(self) -> None:
         """Give up at once: evidence of a later holder was seen elsewhere."""
         self._held = None
         self._valid_until = float("-inf")
 
-    def settle(self) -> None:
+    def mark_established(self) -> None:
         """Note that the holder does what owners do: its strength is the row's now."""
-        self._settled = True
+        self._established = True
 
     async def look(self) -> None:
         """Look at the row only, to know who holds the lease.
@@ -220,15 +222,15 @@
         rows = await self.table.read(keys=(self.key,))
         row = rows[0] if rows else None
         self._observe(row)
-        if self._adopt_if_ours(row):
-            return self.authority()
+        if self._adopt_if_own(row):
+            return self.is_valid()
         if not self._is_free(row):
             self._free_since = None
             return False
-        if not self._is_our_turn(row):
+        if not self._takeover_delay_passed(row):
             return False
-        await self._take(row)
-        return self.authority()
+        await self._take_over(row)
+        return self.is_valid()
 
     async def commit(self, changes: Changes = Changes()) -> None:
         """Write the changes and renew the lease, in one transaction.
@@ -251,32 +253,32 @@
     async def _write(self, changes: Changes) -> None:
         """Send a write, or one that had no answer once more, until it is settled."""
         if self._held is None:
-            raise Deposed(self.key)
+            raise LeaseLost(self.key)
         first_copy = self._pending is None
         if self._pending is None:
             self._pending = attrs.evolve(
                 self._held,
                 sequence=self._held.sequence + 1,
                 lease_s=self._length_s(),
-                strength=self.strength if self._settled else self._held.strength,
-                inherited_s=self._still_inherited_s(),
+                strength=self.strength if self._established else self._held.strength,
+                inherited_s=self._inherited_remaining_s(),
             )
             self._pending_changes = changes
             self._pending_since = self.clock.now()
         txn = self._transaction(self._held_version, self._pending, changes)
         began = self.clock.now()
-        reply = await self._answer(txn)
+        reply = await self._send_and_watch(txn)
         if reply.committed:
             # A copy may have waited out an outage, which tells nothing of the
             # table's pace; a lease three times as long would keep everyone
             # waiting when its holder is lost next.
             if first_copy:
-                self._took_s = self.clock.now() - began
-            self._renewed(self._pending, reply.version)
+                self._last_write_s = self.clock.now() - began
+            self._record_renewed(self._pending, reply.version)
             return
-        await self._settle()
+        await self._resolve_conflict()
 
-    async def _answer(self, txn: Transaction) -> CommitReply:
+    async def _send_and_watch(self, txn: Transaction) -> CommitReply:
         """Send a transaction; where no answer comes soon, look at the row too.
 
         The row shows whether the write took effect though its answer was lost.
@@ -292,28 +294,28 @@
         sending = asyncio.ensure_future(self.table.commit(txn))
         try:
             on_its_way_s = txn.size() / self.carries_bytes_s
-            await asyncio.wait({sending}, timeout=DOUBT_S + on_its_way_s)
+            await asyncio.wait({sending}, timeout=ROW_CHECK_AFTER_S + on_its_way_s)
             while not sending.done():
                 began = self.clock.now()
                 try:
-                    seen = await self._see_pending()
+                    found = await self._find_pending_in_row()
                 except errors.TableUnavailable:
                     # The write's own answer, or its time limit, decides.
                     pass
                 else:
-                    if seen is not None:
-                        return seen
-                    if self.clock.now() - began < SLOW_S and not sending.done():
+                    if found is not None:
+                        return found
+                    if self.clock.now() - began < SLOW_WRITE_S and not sending.done():
                         raise errors.TableUnavailable("the row does not show the write")
-                await asyncio.wait({sending}, timeout=DOUBT_S)
+                await asyncio.wait({sending}, timeout=ROW_CHECK_AFTER_S)
             return sending.result()
         finally:
             sending.cancel()
 
-    async def _see_pending(self) -> CommitReply | None:
+    async def _find_pending_in_row(self) -> CommitReply | None:
         """Return the answer that the row gives, if the write took effect."""
         rows = await self.table.read(keys=(self.key,))
-        self._heard_at = self.clock.now()
+        self._last_answer_at = self.clock.now()
         row = rows[0] if rows else None
         if row is None or codec.decode(row.value, OwnerRow) != self._pending:
             return None
@@ -329,27 +331,27 @@
             TableUnavailable: No answer; the lease will run out by itself.
         """
         if self._held is None:
-            raise Deposed(self.key)
+            raise LeaseLost(self.key)
         held = self._held
         version = self._held_version
-        self.depose()
+        self.mark_lost()
         done = attrs.evolve(
             held,
             sequence=held.sequence + 1,
             released=True,
-            inherited_s=self._still_inherited_s(),
+            inherited_s=self._inherited_remaining_s(),
         )
         txn = self._transaction(version, done, Changes())
-        for attempt in range(RELEASE_TRIES):
+        for attempt in range(RELEASE_ATTEMPTS):
             try:
                 reply = await self.table.commit(txn)
             except errors.TableUnavailable:
-                if attempt + 1 == RELEASE_TRIES:
+                if attempt + 1 == RELEASE_ATTEMPTS:
                     raise
                 continue
             # After a lost reply a conflict may be with our own first copy.
             if not reply.committed and not attempt:
-                raise Deposed(self.key)
+                raise LeaseLost(self.key)
             return
 
     def _length_s(self) -> float:
@@ -358,9 +360,11 @@
         In a slow table the row changes, and is looked at, so seldom that a
         candidate would see no change within the usual length.
         """
-        if self._took_s < SLOW_S:
+        if self._last_write_s < SLOW_WRITE_S:
             return self.lease_s
-        return self.lease_s + SLOW_WRITES * min(self._took_s, SLOWEST_S)
+        return self.lease_s + LEASE_EXTENSION_WRITES * min(
+            self._last_write_s, MAX_COUNTED_WRITE_S
+        )
 
     def _transaction(
         self, version: int, row: OwnerRow, changes: Changes
@@ -374,11 +378,13 @@
     def _observe(self, row: Row | None) -> None:
         """Note when this process saw the row's current version first."""
         now = self.clock.now()
-        self._was_cut_off = row != self._seen and now - self._looked_at > CUT_OFF_S
-        self._looked_at = now
-        if row != self._seen or self._seen_at == float("-inf"):
-            self._seen = row
-            self._seen_at = self.clock.now()
+        self._was_isolated = (
+            row != self._observed_row and now - self._last_read_at > ISOLATED_AFTER_S
+        )
+        self._last_read_at = now
+        if row != self._observed_row or self._observed_at == float("-inf"):
+            self._observed_row = row
+            self._observed_at = self.clock.now()
 
     def _is_free(self, row: Row | None) -> bool:
         if row is None:
@@ -387,12 +393,12 @@
         self.epoch = max(self.epoch, owner.epoch)
         if owner.released:
             return True
-        if self.is_dead(owner.holder) and not self._was_cut_off:
+        if self.is_dead(owner.holder) and not self._was_isolated:
             return True
-        margin = owner.lease_s * DRIFT
-        return self.clock.now() - self._seen_at > owner.lease_s + margin
+        margin = owner.lease_s * MAX_CLOCK_DRIFT
+        return self.clock.now() - self._observed_at > owner.lease_s + margin
 
-    def _is_our_turn(self, row: Row | None) -> bool:
+    def _takeover_delay_passed(self, row: Row | None) -> bool:
         """Tell whether a free lease was left to other candidates long enough."""
         if row is None:
             return True
@@ -402,34 +408,34 @@
         owner = codec.decode(row.value, OwnerRow, place=self.key)
         return now - self._free_since >= self.defer_s(owner)
 
-    async def _take(self, row: Row | None) -> None:
+    async def _take_over(self, row: Row | None) -> None:
         version = ABSENT if row is None else row.version
         old = codec.decode(row.value, OwnerRow) if row is not None else None
-        self._pending_silent = old is not None and not old.released
+        self._pending_unreleased = old is not None and not old.released
         ours = OwnerRow(
             holder=self.holder,
             epoch=1 if old is None else old.epoch + 1,
             sequence=0,
             lease_s=self.lease_s,
-            strength=max(self.strength, FADES * old.strength if old else 0.0),
-            inherited_s=0.0 if old is None else self._inherited_from(old),
+            strength=max(self.strength, STRENGTH_DECAY * old.strength if old else 0.0),
+            inherited_s=0.0 if old is None else self._inherited_after_takeover_s(old),
         )
         self._pending_since = self.clock.now()
         reply = await self.table.commit(self._transaction(version, ours, Changes()))
         if reply.committed:
-            self._won(ours, reply.version)
+            self._record_acquired(ours, reply.version)
 
-    def _still_inherited_s(self) -> float:
+    def _inherited_remaining_s(self) -> float:
         """Return for how long from now on earlier holders may still act."""
         return max(0.0, self._inherited_until - self.clock.now())
 
-    def _inherited_from(self, old: OwnerRow) -> float:
+    def _inherited_after_takeover_s(self, old: OwnerRow) -> float:
         """Return how long earlier holders may still act after a takeover now."""
         if old.released:
             return old.inherited_s
-        return max(old.inherited_s, old.lease_s + self.acts_on_s)
+        return max(old.inherited_s, old.lease_s + self.grants_outlive_lease_s)
 
-    def _adopt_if_ours(self, row: Row | None) -> bool:
+    def _adopt_if_own(self, row: Row | None) -> bool:
         """Settle a takeover whose reply was lost: the row says who won."""
         if row is None:
             return False
@@ -437,17 +443,17 @@
         if owner.holder != self.holder or owner.released:
             return False
         if self._held is None:
-            self._won(owner, row.version)
+            self._record_acquired(owner, row.version)
         return True
 
-    def _won(self, owner: OwnerRow, version: int) -> None:
-        self._settled = False
-        self.takeover_silent = self._pending_silent
+    def _record_acquired(self, owner: OwnerRow, version: int) -> None:
+        self._established = False
+        self.takeover_unreleased = self._pending_unreleased
         self.inherited_s = owner.inherited_s
         self._inherited_until = self.clock.now() + owner.inherited_s
-        self._renewed(owner, version)
+        self._record_renewed(owner, version)
 
-    def _renewed(self, owner: OwnerRow, version: int) -> None:
+    def _record_renewed(self, owner: OwnerRow, version: int) -> None:
         self._held = owner
         self._held_version = version
         self.epoch = owner.epoch
@@ -455,20 +461,20 @@
         self._pending = None
         self._free_since = None
 
-    async def _settle(self) -> None:
+    async def _resolve_conflict(self) -> None:
         """Find out, after a conflict, whether an earlier copy took effect."""
         rows = await self.table.read(keys=(self.key,))
         owner = codec.decode(rows[0].value, OwnerRow) if rows else None
         if owner is not None and owner == self._pending:
-            self._renewed(owner, rows[0].version)
+            self._record_renewed(owner, rows[0].version)
             return
         ours = owner is not None and owner == self._held
         self._pending = None
         if ours:
             # Our lease stands, so a condition of the caller's own did not hold.
             raise ConditionFailed(self.key)
-        self.depose()
-        raise Deposed(self.key)
+        self.mark_lost()
+        raise LeaseLost(self.key)
 
 
 class ConditionFailed(Exception):
--- a/cranberrycleat/lifecycle.py
+++ b/cranberrycleat/lifecycle.py
@@ -17,13 +17,13 @@
 from cranberrycleat.logs import flush, part_logger
 
 LOG: Final[logging.Logger] = part_logger("process")
-AGAIN_S: Final = 0.5
+RESTART_DELAY_S: Final = 0.5
 """The pause before a task that failed begins again."""
 GC_THRESHOLD: Final = 20_000
 """Allocations between collections; each looks through what a shard holds."""
 
 
-class Part(Protocol):
+class Daemon(Protocol):
     """What a process consists of."""
 
     async def start(self) -> None:
@@ -41,7 +41,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Background:
+class BackgroundTasks:
     """The background tasks of one part."""
 
     tasks: set["asyncio.Task[None]"] = attrs.field(factory=set)
@@ -50,23 +50,25 @@
         """Run a coroutine until it ends or `cancel` is called."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def keep(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """Run work until `cancel`; where it fails, log that and begin it again."""
-        self.spawn(self._again(work))
+        self.spawn(self._run_with_restart(work))
 
-    async def _again(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    async def _run_with_restart(
+        self, work: Callable[[], Coroutine[Any, Any, None]]
+    ) -> None:
         while True:
             try:
                 await work()
                 return
             except Exception:
                 LOG.exception("A task failed and begins again.")
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             LOG.error("A task failed.", exc_info=task.exception())
@@ -80,22 +82,22 @@
 
 
 @runtime_checkable
-class Rereads(Protocol):
+class Reloadable(Protocol):
     """A part whose settings may change while it runs."""
 
-    def reread(self) -> None:
+    def reload_settings(self) -> None:
         """Take in settings that may have changed."""
 
 
-def _reread(part: Part) -> None:
+def _reload_settings(daemon: Daemon) -> None:
     """Answer SIGHUP."""
-    if isinstance(part, Rereads):
-        part.reread()
+    if isinstance(daemon, Reloadable):
+        daemon.reload_settings()
         return
     LOG.info("Told to read settings again; flags and environment stay.")
 
 
-async def run(part: Part, *, announce: str) -> None:
+async def run(daemon: Daemon, *, announce: str) -> None:
     """Run a part until the process is told to stop.
 
     Args:
@@ -107,17 +109,17 @@
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     # Without a handler the signal would end the process.
-    loop.add_signal_handler(signal.SIGHUP, _reread, part)
-    await part.start()
-    print(f"{announce} listening on {part.url}", flush=True)
-    await told.wait()
+    loop.add_signal_handler(signal.SIGHUP, _reload_settings, daemon)
+    await daemon.start()
+    print(f"{announce} listening on {daemon.url}", flush=True)
+    await stop_requested.wait()
     LOG.info("Draining.")
-    await part.drain()
-    await part.stop()
+    await daemon.drain()
+    await daemon.stop()
     LOG.info("Stopped.")
     # Lines gather for a moment before they are written; the last ones can't.
     flush()
--- a/cranberrycleat/link.py
+++ b/cranberrycleat/link.py
@@ -24,25 +24,25 @@
 
 from cranberrycleat import errors
 from cranberrycleat.clock import Clock
-from cranberrycleat.lease import DRIFT, OwnershipLease
+from cranberrycleat.lease import MAX_CLOCK_DRIFT, OwnershipLease
 from cranberrycleat.logs import part_logger
 from cranberrycleat.messages import (
+    AttemptRef,
     HostEntry,
     HostState,
     RenewScope,
     SyncOrder,
     SyncReply,
-    TaskMark,
 )
 from cranberrycleat.orders import start_orders, stop_orders
 from cranberrycleat.shard import Shard
 from cranberrycleat.worker_http import WorkerClient
 
 LOG: Final[logging.Logger] = part_logger("link")
-JITTER: Final = 0.9
+MIN_JITTER_FACTOR: Final = 0.9
 SYNCS_PER_LEASE: Final = 3
 """A lease is renewed so often that a lost answer or two does not end it."""
-SILENT_AFTER: Final = 2
+SILENT_AFTER_MISSES: Final = 2
 """Syncs without an answer before a worker draws no more work."""
 
 
@@ -105,14 +105,14 @@
     on_change: asyncio.Event
     sync_s: float = 1.0
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
-    settled: list[TaskMark] = attrs.field(factory=list)
+    settled: list[AttemptRef] = attrs.field(factory=list)
     task: "asyncio.Task[None] | None" = None
     misses: int = 0
     _incarnation: str = ""
     _known_incarnation: str = ""
-    _since: int = 0
-    _clock_seen: float = 0.0
-    _seen_at: float = 0.0
+    _last_revision: int = 0
+    _worker_clock: float = 0.0
+    _worker_clock_read_at: float = 0.0
     _leaving_at: float = math.inf
 
     async def run(self) -> None:
@@ -133,7 +133,7 @@
 
     def _pause_s(self) -> float:
         """Return how long to pause; links drift apart, so as not to go at once."""
-        return self.sync_s * random.uniform(JITTER, 1.0)
+        return self.sync_s * random.uniform(MIN_JITTER_FACTOR, 1.0)
 
     async def _sync(self) -> None:
         if self.client is None:
@@ -142,25 +142,25 @@
         try:
             reply = await self.client.sync(order)
         except errors.PeerUnavailable:
-            self._missed()
+            self._handle_no_reply()
             return
         except errors.ProblemError as exc:
-            self._refused(exc)
+            self._handle_error(exc)
             return
-        self._answered(order, reply)
+        self._handle_reply(order, reply)
 
     def _order(self) -> SyncOrder:
         name = self.entry.name
         if not self._incarnation:
             return SyncOrder(holder=self.lease.holder, epoch=self.lease.epoch)
         now = self.clock.now()
-        owns = self.lease.authority()
+        owns = self.lease.is_valid()
         scope = self._scope(now)
         bound = now + self.times.order_s
         starts = start_orders(self.shard, name) if owns else ()
         if starts:
             bound = min(bound, self.lease.valid_until())
-        self._grant(scope, bound, bool(starts))
+        self._extend_lease_bounds(scope, bound, bool(starts))
         settled = tuple(self.settled) if owns else ()
         return SyncOrder(
             holder=self.lease.holder,
@@ -169,7 +169,7 @@
             not_after=self._on_worker_clock(bound),
             lease_s=self.times.lease_s,
             scope=scope,
-            since=self._since,
+            since=self._last_revision,
             starts=starts,
             stops=stop_orders(self.shard, name) if owns else (),
             settled=settled,
@@ -186,8 +186,10 @@
             return RenewScope.ALL
         return RenewScope.KEEP if self.lease.is_holder else RenewScope.NONE
 
-    def _grant(self, scope: RenewScope, bound: float, starts: bool) -> None:
-        until = bound + self.times.lease_s * (1 + DRIFT)
+    def _extend_lease_bounds(
+        self, scope: RenewScope, bound: float, starts: bool
+    ) -> None:
+        until = bound + self.times.lease_s * (1 + MAX_CLOCK_DRIFT)
         self.keep_until = max(self.keep_until, until)
         if scope is RenewScope.ALL or starts:
             self.release_until = max(self.release_until, until)
@@ -198,54 +200,56 @@
         The worker read its clock before its reply arrived here, so what has
         passed since then is at least what passed here since the arrival.
         """
-        return self._clock_seen + (bound - self._seen_at) * (1 - DRIFT)
+        return self._worker_clock + (bound - self._worker_clock_read_at) * (
+            1 - MAX_CLOCK_DRIFT
+        )
 
-    def _missed(self) -> None:
+    def _handle_no_reply(self) -> None:
         self.misses += 1
-        if self.misses == SILENT_AFTER:
+        if self.misses == SILENT_AFTER_MISSES:
             LOG.warning("worker %s does not answer", self.entry.name)
             self.shard.worker_silent(self.entry.name)
             self.on_change.set()
-        if self.misses >= SILENT_AFTER:
+        if self.misses >= SILENT_AFTER_MISSES:
             # From here on only ask: an order would grant one more lease, and
             # the wait for the end of the last one would never be over.
             self._incarnation = ""
 
-    def _refused(self, exc: errors.ProblemError) -> None:
+    def _handle_error(self, exc: errors.ProblemError) -> None:
         if exc.code == errors.STALE_EPOCH:
             LOG.warning("worker %s has a newer owner", self.entry.name)
-            self.lease.depose()
+            self.lease.mark_lost()
         self._incarnation = ""
 
-    def _answered(self, order: SyncOrder, reply: SyncReply) -> None:
+    def _handle_reply(self, order: SyncOrder, reply: SyncReply) -> None:
         name = self.entry.name
         self.misses = 0
-        self._clock_seen, self._seen_at = reply.clock, self.clock.now()
+        self._worker_clock, self._worker_clock_read_at = reply.clock, self.clock.now()
         changed = bool(reply.tasks)
         if not order.incarnation and reply.incarnation != self._known_incarnation:
-            self._met(reply)
+            self._handle_new_incarnation(reply)
             changed = True
         self._incarnation = self._known_incarnation = reply.incarnation
         for report in reply.tasks:
             self.shard.report(name, report)
-        self._since = reply.revision
+        self._last_revision = reply.revision
         for mark in order.settled:
             self.settled.remove(mark)
-        if self.shard.book.workers[name].state.value == "silent":
-            self.shard.worker_answers(name)
+        if self.shard.inventory.workers[name].state.value == "silent":
+            self.shard.worker_responded(name)
             changed = True
         if reply.state is HostState.LEAVING:
-            self._leaving()
+            self._record_leaving()
         if changed:
             self.on_change.set()
 
-    def _met(self, reply: SyncReply) -> None:
+    def _handle_new_incarnation(self, reply: SyncReply) -> None:
         """First word of this incarnation: it is under our epoch from here on."""
-        self.shard.unreported(self.entry.name, reply.tasks)
-        until = self.clock.now() + self.times.lease_s * (1 + DRIFT)
+        self.shard.drop_unreported(self.entry.name, reply.tasks)
+        until = self.clock.now() + self.times.lease_s * (1 + MAX_CLOCK_DRIFT)
         self.keep_until = self.release_until = until + self.times.order_s
 
-    def _leaving(self) -> None:
+    def _record_leaving(self) -> None:
         self.shard.worker_leaving(self.entry.name)
         self._leaving_at = min(self._leaving_at, self.clock.now())
 
@@ -255,22 +259,22 @@
 
     def _check_leases(self) -> None:
         """Give up a silent worker's tasks once every lease has run out."""
-        if not self.is_silent() or not self.lease.authority():
+        if not self.is_silent() or not self.lease.is_valid():
             return
         now = self.clock.now()
-        before = len(self.shard.book.workers[self.entry.name].tasks)
+        before = len(self.shard.inventory.workers[self.entry.name].tasks)
         if now > self.keep_until:
-            self.shard.leases_over(self.entry.name, keep=True)
+            self.shard.expire_leases(self.entry.name, keep=True)
         elif now > self.release_until:
-            self.shard.leases_over(self.entry.name, keep=False)
-        if len(self.shard.book.workers[self.entry.name].tasks) != before:
+            self.shard.expire_leases(self.entry.name, keep=False)
+        if len(self.shard.inventory.workers[self.entry.name].tasks) != before:
             self.on_change.set()
 
     def is_silent(self) -> bool:
         """Tell whether the worker has stopped answering."""
-        return self.client is None or self.misses >= SILENT_AFTER
+        return self.client is None or self.misses >= SILENT_AFTER_MISSES
 
-    def vouched_dead(self) -> None:
+    def mark_declared_dead(self) -> None:
         """An operator vouches that the worker is gone: its leases are over."""
         self.keep_until = self.release_until = -math.inf
         self.wake.set()
@@ -297,8 +301,8 @@
     bound, so those are re-placed only once the worker answers the new owner or
     an operator vouches that it is gone; the others after `release_after_s`.
     """
-    last = now + (times.lease_s + times.order_s) * (1 + DRIFT)
+    last = now + (times.lease_s + times.order_s) * (1 + MAX_CLOCK_DRIFT)
     if not silent:
         return InheritedLeases(keep_until=last, release_until=last)
-    release = last + times.release_after_s * (1 + DRIFT)
+    release = last + times.release_after_s * (1 + MAX_CLOCK_DRIFT)
     return InheritedLeases(keep_until=math.inf, release_until=release)
--- a/cranberrycleat/log_sink.py
+++ b/cranberrycleat/log_sink.py
@@ -13,24 +13,24 @@
 
 import attrs
 
-GATHER_S: Final = 0.05
+FLUSH_DELAY_S: Final = 0.05
 """Lines of this long share a write: at 300 lines a second one of 15 lines."""
-AGAIN_S: Final = 0.1
-MOST_BYTES: Final = 1024 * 1024
+RETRY_DELAY_S: Final = 0.1
+MAX_PENDING_BYTES: Final = 1024 * 1024
 """What may wait for a reader; about ten seconds of a burst."""
-MOST_A_WRITE: Final = 4096
+MAX_WRITE_BYTES: Final = 4096
 """A write of whole lines up to this size reaches a pipe in one piece, whoever else
 writes there (PIPE_BUF). Measured on the platform's bench: of a longer write only
 the first 8 KB are kept; 250 times on an incident of 45 hosts a line was cut and
 all behind it was lost."""
-REPORT_S: Final = 1.0
+REPORT_INTERVAL_S: Final = 1.0
 
 
 @attrs.frozen(kw_only=True)
 class _Line:
     name: str
     data: bytes
-    kept: bool
+    essential: bool
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -47,90 +47,90 @@
 
     fd: int
     report: Callable[[dict[str, int]], bytes]
-    most_bytes: int = MOST_BYTES
-    left_out: dict[str, int] = attrs.field(factory=dict)
-    left_out_ever: int = 0
-    _lines: "collections.deque[_Line]" = attrs.field(factory=collections.deque)
-    _kept: "collections.deque[_Line]" = attrs.field(factory=collections.deque)
+    max_pending_bytes: int = MAX_PENDING_BYTES
+    dropped: dict[str, int] = attrs.field(factory=dict)
+    dropped_total: int = 0
+    _ordinary: "collections.deque[_Line]" = attrs.field(factory=collections.deque)
+    _essential: "collections.deque[_Line]" = attrs.field(factory=collections.deque)
     _bytes: int = 0
-    _rest: bytes = b""
-    _due: bool = False
+    _unsent: bytes = b""
+    _flush_scheduled: bool = False
 
     def __attrs_post_init__(self) -> None:
         os.set_blocking(self.fd, False)
 
-    def put(self, name: str, data: bytes, *, kept: bool) -> None:
+    def put(self, name: str, data: bytes, *, essential: bool) -> None:
         """Take a line, or leave out one that matters less."""
         self._bytes += len(data)
-        (self._kept if kept else self._lines).append(
-            _Line(name=name, data=data, kept=kept)
+        (self._essential if essential else self._ordinary).append(
+            _Line(name=name, data=data, essential=essential)
         )
-        while self._bytes > self.most_bytes:
-            self._leave_out()
+        while self._bytes > self.max_pending_bytes:
+            self._drop_line()
         self._schedule()
 
-    def _leave_out(self) -> None:
-        line = (self._lines or self._kept).popleft()
+    def _drop_line(self) -> None:
+        line = (self._ordinary or self._essential).popleft()
         self._bytes -= len(line.data)
-        self.left_out[line.name] = self.left_out.get(line.name, 0) + 1
-        self.left_out_ever += 1
+        self.dropped[line.name] = self.dropped.get(line.name, 0) + 1
+        self.dropped_total += 1
 
-    def _schedule(self, delay_s: float = GATHER_S) -> None:
-        if self._due:
+    def _schedule(self, delay_s: float = FLUSH_DELAY_S) -> None:
+        if self._flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._due = True
+        self._flush_scheduled = True
         loop.call_later(delay_s, self._flush_due)
 
     def _flush_due(self) -> None:
-        self._due = False
+        self._flush_scheduled = False
         self.flush()
 
     def flush(self) -> None:
         """Write as much as the reader takes now."""
-        while self._rest or self._lines or self._kept:
-            data = self._rest or self._next()
+        while self._unsent or self._ordinary or self._essential:
+            data = self._unsent or self._next_write()
             try:
                 sent = os.write(self.fd, data)
             except BlockingIOError:
-                self._rest = data
+                self._unsent = data
                 self._retry()
                 return
             except OSError:
                 # Nobody reads any more: there is no one to tell.
-                self._lines.clear()
-                self._kept.clear()
-                self._rest = b""
+                self._ordinary.clear()
+                self._essential.clear()
+                self._unsent = b""
                 self._bytes = 0
                 return
-            self._rest = data[sent:]
-        if self.left_out:
-            told = self.report(self.left_out)
-            self.left_out = {}
-            self.put("log.left_out", told, kept=True)
+            self._unsent = data[sent:]
+        if self.dropped:
+            report_line = self.report(self.dropped)
+            self.dropped = {}
+            self.put("log.left_out", report_line, essential=True)
 
     def _retry(self) -> None:
         try:
             asyncio.get_running_loop()
         except RuntimeError:
             return
-        self._schedule(AGAIN_S)
+        self._schedule(RETRY_DELAY_S)
 
-    def _next(self) -> bytes:
+    def _next_write(self) -> bytes:
         """Take the next whole lines; what must not be lost goes first."""
-        longest = (self._kept or self._lines)[0]
-        if len(longest.data) > MOST_A_WRITE:
-            (self._kept or self._lines).popleft()
-            self._bytes -= len(longest.data)
-            return longest.data
+        first = (self._essential or self._ordinary)[0]
+        if len(first.data) > MAX_WRITE_BYTES:
+            (self._essential or self._ordinary).popleft()
+            self._bytes -= len(first.data)
+            return first.data
         parts: list[bytes] = []
         size = 0
-        for queue in (self._kept, self._lines):
-            while queue and size + len(queue[0].data) <= MOST_A_WRITE:
+        for queue in (self._essential, self._ordinary):
+            while queue and size + len(queue[0].data) <= MAX_WRITE_BYTES:
                 line = queue.popleft()
                 parts.append(line.data)
                 size += len(line.data)
--- a/cranberrycleat/logs.py
+++ b/cranberrycleat/logs.py
@@ -73,9 +73,9 @@
             part=record.name.removeprefix(ROOT + "."),
             message=message,
         )
-        kept = record.levelno >= logging.WARNING
+        essential = record.levelno >= logging.WARNING
         if _STATE.sink is not None:
-            _STATE.sink.put(MESSAGE, codec.encode(line) + b"\n", kept=kept)
+            _STATE.sink.put(MESSAGE, codec.encode(line) + b"\n", essential=essential)
 
 
 def set_up(*, level: str, form: str, host: str = "") -> None:
@@ -89,7 +89,7 @@
     handler: logging.Handler
     _STATE.host = host
     if form == "json":
-        _STATE.sink = LogSink(fd=sys.stdout.fileno(), report=_left_out)
+        _STATE.sink = LogSink(fd=sys.stdout.fileno(), report=_dropped_report)
         handler = _SinkHandler()
     else:
         _STATE.sink = None
@@ -101,12 +101,12 @@
     logger.propagate = False
 
 
-def name_host(host: str) -> None:
+def set_host_name(host: str) -> None:
     """Set the name that every JSON line of this process carries."""
     _STATE.host = host
 
 
-def observe(observer: Callable[[Any], None] | None) -> None:
+def set_observer(observer: Callable[[Any], None] | None) -> None:
     """Have every event also go to a function, as the metrics do."""
     _STATE.observer = observer
 
@@ -117,9 +117,9 @@
         _STATE.sink.flush()
 
 
-def lines_left_out() -> int:
+def dropped_lines() -> int:
     """Return how many lines were left out since the start."""
-    return 0 if _STATE.sink is None else _STATE.sink.left_out_ever
+    return 0 if _STATE.sink is None else _STATE.sink.dropped_total
 
 
 def part_logger(part: str) -> logging.Logger:
@@ -135,7 +135,7 @@
     if _STATE.sink is not None:
         if EVENTS.isEnabledFor(logging.INFO):
             line = encode_event(event, kind.name, time.time(), _STATE.host)
-            _STATE.sink.put(kind.name, line, kept=kind.kept)
+            _STATE.sink.put(kind.name, line, essential=kind.essential)
     elif EVENTS.isEnabledFor(logging.INFO):
         EVENTS.info("%s %s", kind.name, codec.encode_text(event))
 
@@ -144,11 +144,11 @@
     """Return an event's line: its fields behind time, name and host."""
     head = f'{{"time":{at:.4f},"event":"{name}","host":"{host}"'
     fields = codec.encode(event)
-    joint = b"" if fields == b"{}" else b","
-    return head.encode() + joint + fields[1:] + b"\n"
+    separator = b"" if fields == b"{}" else b","
+    return head.encode() + separator + fields[1:] + b"\n"
 
 
-def _left_out(by_event: dict[str, int]) -> bytes:
+def _dropped_report(by_event: dict[str, int]) -> bytes:
     event = events.LogLeftOut(lines=sum(by_event.values()), by_event=by_event)
     kind = events.KINDS[events.LogLeftOut]
     return encode_event(event, kind.name, time.time(), _STATE.host)
--- a/cranberrycleat/losses.py
+++ b/cranberrycleat/losses.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from cranberrycleat.explain import Story, cause, lost, queue_of
+from cranberrycleat.explain import JobTimeline, cause, lost, queue_of
 
 WINDOW_S: Final = 2.0
 """Long enough for some tens of jobs, short enough to show one fault alone."""
@@ -49,7 +49,7 @@
     unexplained: int
 
 
-def sum_up(every: Iterable[Story], by: tuple[str, ...]) -> Losses:
+def summarize(timelines: Iterable[JobTimeline], by: tuple[str, ...]) -> Losses:
     """Count the jobs that were lost or late.
 
     Args:
@@ -58,16 +58,16 @@
     """
     counts: Counter[tuple[str, ...]] = Counter()
     jobs = unexplained = 0
-    for told in every:
+    for timeline in timelines:
         jobs += 1
-        if not lost(told):
+        if not lost(timeline):
             continue
-        found = cause(told)
+        found = cause(timeline)
         unexplained += found.entry is None
         values = {
-            WINDOW: _window(told),
+            WINDOW: _window_start(timeline),
             CAUSE: found.text.partition(" (")[0],
-            QUEUE: queue_of(told),
+            QUEUE: queue_of(timeline),
         }
         counts[tuple(values[key] for key in by)] += 1
     rows = [LossRow(jobs=number, values=key) for key, number in counts.most_common()]
@@ -81,6 +81,6 @@
     )
 
 
-def _window(told: Story) -> str:
+def _window_start(timeline: JobTimeline) -> str:
     """Return the second at which the window of a job's first line begins."""
-    return f"{told.own[0].at // WINDOW_S * WINDOW_S:.0f}"
+    return f"{timeline.job_entries[0].at // WINDOW_S * WINDOW_S:.0f}"
--- a/cranberrycleat/messages.py
+++ b/cranberrycleat/messages.py
@@ -9,7 +9,7 @@
 import attrs
 
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.jobs import JobSpec, Program, Yield
+from cranberrycleat.jobs import JobSpec, PreemptionMode, Program
 from cranberrycleat.table import Row
 
 
@@ -114,11 +114,11 @@
 
     task: str
     attempt: int
-    how: Yield = Yield.STOP
+    how: PreemptionMode = PreemptionMode.STOP
 
 
 @attrs.frozen(kw_only=True)
-class TaskMark:
+class AttemptRef:
     """Names one attempt of a task."""
 
     task: str
@@ -152,7 +152,7 @@
     since: int = 0
     starts: tuple[StartOrder, ...] = ()
     stops: tuple[StopOrder, ...] = ()
-    settled: tuple[TaskMark, ...] = ()
+    settled: tuple[AttemptRef, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
@@ -338,7 +338,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class SeenSet:
+class EndpointSetVersion:
     """What a gateway knows already of one data centre's endpoints."""
 
     data_centre: str
@@ -396,7 +396,7 @@
     config_version: int
     leaving: tuple[str, ...] = ()
     draining: bool = False
-    seen: tuple[SeenSet, ...] = ()
+    seen: tuple[EndpointSetVersion, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
--- a/cranberrycleat/metrics.py
+++ b/cranberrycleat/metrics.py
@@ -72,7 +72,7 @@
             self._histograms[name] = histogram
         histogram.record(seconds, labels)
 
-    def watch(self, name: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Have a gauge read by a function whenever the metrics are read."""
 
         def observe(_: CallbackOptions) -> list[Observation]:
--- a/cranberrycleat/operator_client.py
+++ b/cranberrycleat/operator_client.py
@@ -38,69 +38,71 @@
 
     async def submit(self, spec: JobSpec) -> Accepted:
         """Submit a job."""
-        return await self._first("POST", "/v1/jobs", Accepted, message=spec)
+        return await self._request_first("POST", "/v1/jobs", Accepted, message=spec)
 
     async def cancel(self, job: str) -> Accepted:
         """Cancel a job."""
-        return await self._first("DELETE", f"/v1/jobs/{job}", Accepted)
+        return await self._request_first("DELETE", f"/v1/jobs/{job}", Accepted)
 
     async def job(self, name: str) -> JobStatus:
         """Return a job's status."""
-        return await self._first("GET", f"/v1/jobs/{name}", JobStatus)
+        return await self._request_first("GET", f"/v1/jobs/{name}", JobStatus)
 
     async def label(self, worker: str, labels: dict[str, str | None]) -> Accepted:
         """Change a worker's labels."""
         path = f"/v1/workers/{worker}/labels"
-        return await self._first("POST", path, Accepted, message=labels)
+        return await self._request_first("POST", path, Accepted, message=labels)
 
     async def declare_dead(self, worker: str) -> Accepted:
         """Vouch that a worker is gone and runs nothing."""
-        return await self._first("POST", f"/v1/workers/{worker}/dead", Accepted)
+        return await self._request_first("POST", f"/v1/workers/{worker}/dead", Accepted)
 
     async def config(self) -> ConfigDocument:
         """Return the configuration in force."""
-        return await self._first("GET", "/v1/config", ConfigDocument)
+        return await self._request_first("GET", "/v1/config", ConfigDocument)
 
     async def apply(self, change: ConfigChange) -> ConfigDocument:
         """Apply a new configuration."""
-        return await self._first("POST", "/v1/config", ConfigDocument, message=change)
+        return await self._request_first(
+            "POST", "/v1/config", ConfigDocument, message=change
+        )
 
     async def workers(self) -> tuple[WorkerList, ...]:
         """Return the workers of each shard whose owner answers."""
-        return await self._each("/v1/workers", WorkerList)
+        return await self._request_all("/v1/workers", WorkerList)
 
     async def statuses(self) -> tuple[SchedulerStatus, ...]:
         """Return the status of each scheduler that answers."""
-        return await self._each("/v1/status", SchedulerStatus)
+        return await self._request_all("/v1/status", SchedulerStatus)
 
     async def dump(self, url: str) -> object:
         """Return any process's state."""
 
-        async def ask(client: JsonClient) -> object:
+        async def send_requests(client: JsonClient) -> object:
             return await call(client, "GET", url + "/v1/dump", object)
 
-        return await self._with_client(ask)
+        return await self._with_client(send_requests)
 
-    async def _first(
+    async def _request_first(
         self, method: str, path: str, kind: type[T], *, message: object = None
     ) -> T:
-        async def ask(client: JsonClient) -> T:
-            last: Exception = errors.PeerUnavailable("no scheduler was named")
+        async def send_requests(client: JsonClient) -> T:
+            last_error: Exception = errors.PeerUnavailable("no scheduler was named")
             for url in self.urls:
                 try:
                     return await call(client, method, url + path, kind, message=message)
                 except errors.PeerUnavailable as exc:
-                    last = exc
+                    last_error = exc
                 except errors.ProblemError as exc:
                     if exc.code not in (errors.DRAINING, errors.NOT_ACCEPTED):
                         raise
-                    last = exc
-            raise last
+                    last_error = exc
+            raise last_error
 
-        return await self._with_client(ask)
+        return await self._with_client(send_requests)
 
-    async def _each(self, path: str, kind: type[T]) -> tuple[T, ...]:
-        async def ask(client: JsonClient) -> tuple[T, ...]:
+    async def _request_all(self, path: str, kind: type[T]) -> tuple[T, ...]:
+        async def send_requests(client: JsonClient) -> tuple[T, ...]:
             found = []
             for url in self.urls:
                 try:
@@ -111,8 +113,10 @@
                 raise errors.PeerUnavailable("no scheduler answered")
             return tuple(found)
 
-        return await self._with_client(ask)
+        return await self._with_client(send_requests)
 
-    async def _with_client(self, ask: Callable[[JsonClient], Awaitable[T]]) -> T:
+    async def _with_client(
+        self, send_requests: Callable[[JsonClient], Awaitable[T]]
+    ) -> T:
         async with make_client(timeout_s=self.timeout_s) as client:
-            return await ask(client)
+            return await send_requests(client)
--- a/cranberrycleat/options.py
+++ b/cranberrycleat/options.py
@@ -7,17 +7,17 @@
 from cranberrycleat import errors
 from cranberrycleat.settings import (
     Choice,
+    Integer,
     Listen,
     Name,
     Number,
     Text,
     Url,
     Urls,
-    Whole,
     setting,
 )
 
-LEASES_PER_WORKER_LEASE: Final = 2.0
+MIN_OWNER_LEASES_PER_WORKER_LEASE: Final = 2.0
 """A task must outlive its owner: a candidate waits for one ownership lease,
 looks every fifth of one, and then has to reach the worker."""
 
@@ -30,7 +30,7 @@
     data_centre: str = setting(Name(), "The data centre this process stands in.")
     listen: str = setting(Listen(), "The IP to listen on.", default="127.0.0.1")
     port: int = setting(
-        Whole(low=0, high=65535), "The port to listen on; 0 for any.", default=0
+        Integer(low=0, high=65535), "The port to listen on; 0 for any.", default=0
     )
     platform: str = setting(Url(), "The platform's base URL.")
     peers: tuple[str, ...] = setting(
@@ -51,12 +51,12 @@
         default=2.0,
     )
     log_level: str = setting(
-        Choice(words=("debug", "info", "warning", "error")),
+        Choice(choices=("debug", "info", "warning", "error")),
         "The least severe level to log.",
         default="info",
     )
     log_form: str = setting(
-        Choice(words=("text", "json")), "The form of log lines.", default="text"
+        Choice(choices=("text", "json")), "The form of log lines.", default="text"
     )
 
 
@@ -113,14 +113,14 @@
 
     def check(self) -> tuple[errors.Finding, ...]:
         """Return faults of settings that are right alone but not together."""
-        least = LEASES_PER_WORKER_LEASE * self.lease_s
-        if self.worker_lease_s >= least:
+        minimum = MIN_OWNER_LEASES_PER_WORKER_LEASE * self.lease_s
+        if self.worker_lease_s >= minimum:
             return ()
         found = errors.finding(
             "--worker-lease-s",
             errors.BAD_VALUE,
             value=self.worker_lease_s,
-            allowed=f"at least {least:g}, or tasks stop when an owner dies",
+            allowed=f"at least {minimum:g}, or tasks stop when an owner dies",
         )
         return (found,)
 
@@ -130,7 +130,7 @@
     """The gateway's options."""
 
     max_waiting: int = setting(
-        Whole(low=0, high=100000), "Requests that may wait for a slot.", default=256
+        Integer(low=0, high=100000), "Requests that may wait for a slot.", default=256
     )
     claim_batch_s: float = setting(
         Number(low=0, high=1), "How long claims are gathered for.", default=0.002
@@ -149,18 +149,18 @@
 
     listen: str = setting(Listen(), "The IP to listen on.", default="127.0.0.1")
     port: int = setting(
-        Whole(low=0, high=65535), "The port to listen on; 0 for any.", default=0
+        Integer(low=0, high=65535), "The port to listen on; 0 for any.", default=0
     )
     lag_s: float = setting(
         Number(low=0, high=600), "How far the host list lags.", default=0.0
     )
     log_level: str = setting(
-        Choice(words=("debug", "info", "warning", "error")),
+        Choice(choices=("debug", "info", "warning", "error")),
         "The least severe level to log.",
         default="info",
     )
     log_form: str = setting(
-        Choice(words=("text", "json")), "The form of log lines.", default="text"
+        Choice(choices=("text", "json")), "The form of log lines.", default="text"
     )
 
 
@@ -173,27 +173,29 @@
     rack: str = setting(Name(), "The rack it stands in.")
     listen: str = setting(Listen(), "The IP to listen on.", default="127.0.0.1")
     port: int = setting(
-        Whole(low=0, high=65535), "The port to listen on; 0 for any.", default=0
+        Integer(low=0, high=65535), "The port to listen on; 0 for any.", default=0
     )
     platform: str = setting(Url(), "The platform's base URL.")
-    processors: int = setting(Whole(low=1, high=4096), "Processors it has.", default=16)
+    processors: int = setting(
+        Integer(low=1, high=4096), "Processors it has.", default=16
+    )
     memory_mb: int = setting(
-        Whole(low=1, high=1 << 26), "Memory it has, in MiB.", default=32768
+        Integer(low=1, high=1 << 26), "Memory it has, in MiB.", default=32768
     )
     accelerators: int = setting(
-        Whole(low=0, high=64), "Accelerators it has.", default=0
+        Integer(low=0, high=64), "Accelerators it has.", default=0
     )
     slots: int = setting(
-        Whole(low=0, high=4096), "Requests its services answer at once.", default=8
+        Integer(low=0, high=4096), "Requests its services answer at once.", default=8
     )
     labels: str = setting(Text(), "Labels, as key=value,key=value.", default="")
     log_level: str = setting(
-        Choice(words=("debug", "info", "warning", "error")),
+        Choice(choices=("debug", "info", "warning", "error")),
         "The least severe level to log.",
         default="info",
     )
     log_form: str = setting(
-        Choice(words=("text", "json")), "The form of log lines.", default="text"
+        Choice(choices=("text", "json")), "The form of log lines.", default="text"
     )
 
 
@@ -202,10 +204,10 @@
     """The node's options; addresses and bounds come from the platform's file."""
 
     log_level: str = setting(
-        Choice(words=("debug", "info", "warning", "error")),
+        Choice(choices=("debug", "info", "warning", "error")),
         "The least severe level to log.",
         default="info",
     )
     log_form: str = setting(
-        Choice(words=("text", "json")), "The form of log lines.", default="json"
+        Choice(choices=("text", "json")), "The form of log lines.", default="json"
     )
--- a/cranberrycleat/orders.py
+++ b/cranberrycleat/orders.py
@@ -4,18 +4,18 @@
 endpoints that gateways hear of. A start is ordered only once it is durable.
 """
 
-from cranberrycleat.book import BookWorker, WorkerState
+from cranberrycleat.inventory import InventoryWorker, WorkerState
 from cranberrycleat.jobs import JobRow, Kind, job_of
 from cranberrycleat.messages import Endpoint, StartOrder, StopOrder
-from cranberrycleat.shard import LiveTask, Shard
+from cranberrycleat.shard import ActiveTask, Shard
 
 
 def start_orders(shard: Shard, worker: str) -> tuple[StartOrder, ...]:
     """Return the durable placements that the worker has not confirmed."""
     orders = []
-    for task in shard.book.workers[worker].tasks:
-        live = shard.live[task]
-        if live.durable and not live.running and not live.stopping:
+    for task in shard.inventory.workers[worker].tasks:
+        active = shard.active[task]
+        if active.durable and not active.running and not active.stopping:
             orders.append(_start_order(shard, task))
     return tuple(orders)
 
@@ -25,7 +25,7 @@
     return StartOrder(
         task=task,
         attempt=shard.record(task).attempt,
-        needs=shard.live[task].needs,
+        needs=shard.active[task].needs,
         keeps=spec.keeps,
         program=spec.program,
     )
@@ -37,12 +37,12 @@
         StopOrder(
             task=task,
             attempt=shard.record(task).attempt,
-            how=shard.live[task].how,
+            how=shard.active[task].how,
         )
-        for task in shard.book.workers[worker].tasks
-        if shard.live[task].stopping
+        for task in shard.inventory.workers[worker].tasks
+        if shard.active[task].stopping
     ]
-    for task, attempt in shard.strays.get(worker, {}).items():
+    for task, attempt in shard.orphaned_attempts.get(worker, {}).items():
         orders.append(StopOrder(task=task, attempt=attempt))
     return tuple(orders)
 
@@ -50,22 +50,22 @@
 def endpoints(shard: Shard) -> tuple[Endpoint, ...]:
     """Return where the shard's services answer."""
     found = []
-    for task, live in sorted(shard.live.items()):
+    for task, active in sorted(shard.active.items()):
         job = shard.jobs[job_of(task)]
-        if job.spec.kind is not Kind.SERVICE or not live.url:
+        if job.spec.kind is not Kind.SERVICE or not active.url:
             continue
-        worker = shard.book.workers[shard.record(task).worker]
-        found.append(_endpoint(shard, job, live, worker))
+        worker = shard.inventory.workers[shard.record(task).worker]
+        found.append(_endpoint(shard, job, active, worker))
     return tuple(found)
 
 
 def _endpoint(
-    shard: Shard, job: JobRow, live: LiveTask, worker: BookWorker
+    shard: Shard, job: JobRow, active: ActiveTask, worker: InventoryWorker
 ) -> Endpoint:
     return Endpoint(
         service=job.spec.name,
-        url=live.url,
+        url=active.url,
         data_centre=shard.data_centre,
         slots=max(1, job.spec.slots),
-        leaving=live.stopping or worker.state is WorkerState.LEAVING,
+        leaving=active.stopping or worker.state is WorkerState.LEAVING,
     )
--- a/cranberrycleat/peers.py
+++ b/cranberrycleat/peers.py
@@ -20,7 +20,7 @@
 from cranberrycleat.messages import Digest, DigestReply
 
 LOG: Final[logging.Logger] = part_logger("peers")
-GONE_AFTER: Final = 5
+PEER_TIMEOUT_INTERVALS: Final = 5
 """Digest intervals without an answer before a peer counts as gone."""
 
 
@@ -30,7 +30,7 @@
     def digest(self) -> Digest:
         """Return what this process tells its peers now."""
 
-    def hear(self, reply: DigestReply) -> None:
+    def apply_reply(self, reply: DigestReply) -> None:
         """Take in what a peer answered."""
 
 
@@ -46,7 +46,7 @@
 
     url: str
     last: Digest | None = None
-    heard_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -59,7 +59,7 @@
     digest_s: float
     known: dict[str, Peer] = attrs.field(factory=dict)
 
-    async def talk_to(self, url: str) -> None:
+    async def gossip_with(self, url: str) -> None:
         """Exchange digests with one peer for ever."""
         peer = self.known.setdefault(url, Peer(url=url))
         async with make_client(timeout_s=max(1.0, self.digest_s)) as client:
@@ -73,25 +73,25 @@
                         message=self.gossip.digest(),
                     )
                     peer.last = reply.digest
-                    peer.heard_at = self.clock.now()
-                    self.gossip.hear(reply)
+                    peer.last_heard_at = self.clock.now()
+                    self.gossip.apply_reply(reply)
                 except (errors.PeerUnavailable, errors.ProblemError) as exc:
                     LOG.debug("peer %s gave no answer: %s", url, exc)
                 await asyncio.sleep(self.digest_s)
 
-    def heard(self, asked: Digest) -> None:
+    def record_digest(self, sender_digest: Digest) -> None:
         """Note a peer that asked, whether or not its address is known here."""
-        peer = self.known.setdefault(asked.sender, Peer(url=""))
-        peer.last = asked
-        peer.heard_at = self.clock.now()
+        peer = self.known.setdefault(sender_digest.sender, Peer(url=""))
+        peer.last = sender_digest
+        peer.last_heard_at = self.clock.now()
 
     def live(self, role: str) -> tuple[Digest, ...]:
         """Return the last digests of peers of a role that were heard lately."""
-        bound = self.clock.now() - GONE_AFTER * self.digest_s
+        bound = self.clock.now() - PEER_TIMEOUT_INTERVALS * self.digest_s
         return tuple(
             peer.last
             for peer in self.known.values()
             if peer.last is not None
             and peer.last.role == role
-            and peer.heard_at >= bound
+            and peer.last_heard_at >= bound
         )
--- a/cranberrycleat/placement.py
+++ b/cranberrycleat/placement.py
@@ -13,16 +13,16 @@
 import attrs
 
 from cranberrycleat.amounts import Amounts
-from cranberrycleat.book import BookWorker, CapacityBook, Pool
-from cranberrycleat.jobs import Kind, Yield
+from cranberrycleat.inventory import InventoryWorker, Pool, WorkerInventory
+from cranberrycleat.jobs import Kind, PreemptionMode
 from cranberrycleat.registry import PluginKind, register
 from cranberrycleat.selectors import Selector
 
-REASONS_SHOWN: Final = 4
+MAX_REASONS_SHOWN: Final = 4
 
 
 @attrs.frozen(kw_only=True)
-class Ask:
+class PlacementRequest:
     """Tasks of one job that want a place.
 
     Attributes:
@@ -47,7 +47,7 @@
     selector: Selector
     tasks: tuple[str, ...]
     run_s: float = 0.0
-    gives_way: Yield = Yield.STOP
+    gives_way: PreemptionMode = PreemptionMode.STOP
     ends_by: float = -math.inf
 
 
@@ -59,11 +59,15 @@
     worker: str
 
 
-class Policy(Protocol):
+class PlacementPolicy(Protocol):
     """What a placement policy does."""
 
     def place(
-        self, *, ask: Ask, book: CapacityBook, racks: dict[str, int]
+        self,
+        *,
+        request: PlacementRequest,
+        inventory: WorkerInventory,
+        racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
         """Reserve room in the book for as many of the tasks as fit.
 
@@ -82,33 +86,41 @@
     """Each task goes to the worker that it leaves the least room on."""
 
     def place(
-        self, *, ask: Ask, book: CapacityBook, racks: dict[str, int]
+        self,
+        *,
+        request: PlacementRequest,
+        inventory: WorkerInventory,
+        racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
         """Reserve room for each task until one finds none."""
-        pool = book.pool(ask.selector)
-        made = []
-        for task in ask.tasks:
-            worker = pool.tightest(ask.needs, ends_by=ask.ends_by)
+        pool = inventory.pool(request.selector)
+        assignments = []
+        for task in request.tasks:
+            worker = pool.best_fit(request.needs, ends_by=request.ends_by)
             if worker is None:
                 break
-            book.reserve(worker.name, task, ask.needs)
-            made.append(Assignment(task=task, worker=worker.name))
-        return tuple(made)
+            inventory.allocate(worker.name, task, request.needs)
+            assignments.append(Assignment(task=task, worker=worker.name))
+        return tuple(assignments)
 
 
 @register(PluginKind.PLACEMENT, Kind.GANG.value)
-class AllOrNone:
+class AllOrNothing:
     """All the tasks get a place in one step, or none keeps one."""
 
     def place(
-        self, *, ask: Ask, book: CapacityBook, racks: dict[str, int]
+        self,
+        *,
+        request: PlacementRequest,
+        inventory: WorkerInventory,
+        racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
         """Reserve room for every task, or for none."""
-        made = BestFit().place(ask=ask, book=book, racks=racks)
-        if len(made) == len(ask.tasks):
-            return made
-        for assignment in made:
-            book.release(assignment.worker, assignment.task)
+        assignments = BestFit().place(request=request, inventory=inventory, racks=racks)
+        if len(assignments) == len(request.tasks):
+            return assignments
+        for assignment in assignments:
+            inventory.release(assignment.worker, assignment.task)
         return ()
 
 
@@ -117,66 +129,76 @@
     """Each task goes to the rack with the fewest of its kin, then tightest."""
 
     def place(
-        self, *, ask: Ask, book: CapacityBook, racks: dict[str, int]
+        self,
+        *,
+        request: PlacementRequest,
+        inventory: WorkerInventory,
+        racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
         """Reserve room for each task until one finds none."""
-        pool = book.pool(ask.selector)
+        pool = inventory.pool(request.selector)
         counts = dict(racks)
-        made = []
-        for task in ask.tasks:
-            worker = _spread_choice(ask, pool, counts)
+        assignments = []
+        for task in request.tasks:
+            worker = _least_used_rack_worker(request, pool, counts)
             if worker is None:
                 break
-            book.reserve(worker.name, task, ask.needs)
+            inventory.allocate(worker.name, task, request.needs)
             counts[worker.rack] = counts.get(worker.rack, 0) + 1
-            made.append(Assignment(task=task, worker=worker.name))
-        return tuple(made)
+            assignments.append(Assignment(task=task, worker=worker.name))
+        return tuple(assignments)
 
 
-def _spread_choice(ask: Ask, pool: Pool, counts: dict[str, int]) -> BookWorker | None:
-    prefix = ask.job + "/"
+def _least_used_rack_worker(
+    request: PlacementRequest, pool: Pool, counts: dict[str, int]
+) -> InventoryWorker | None:
+    prefix = request.job + "/"
     for rack in sorted(pool.racks, key=lambda each: counts.get(each, 0)):
-        fitting = [each for each in pool.racks[rack] if _has_room(each, ask)]
+        fitting = [each for each in pool.racks[rack] if _has_capacity(each, request)]
         if fitting:
-            return min(fitting, key=lambda each: _crowding(each, prefix))
+            return min(fitting, key=lambda each: _spread_key(each, prefix))
     return None
 
 
-def _has_room(worker: BookWorker, ask: Ask) -> bool:
-    if worker.held_until and ask.ends_by > worker.held_until:
+def _has_capacity(worker: InventoryWorker, request: PlacementRequest) -> bool:
+    if worker.reserved_until and request.ends_by > worker.reserved_until:
         return False
-    return worker.may_draw() and ask.needs.fits_in(worker.free)
+    return worker.may_accept_work() and request.needs.fits_in(worker.free)
 
 
-def _crowding(worker: BookWorker, prefix: str) -> tuple[int, int, str]:
+def _spread_key(worker: InventoryWorker, prefix: str) -> tuple[int, int, str]:
     """Kin on the worker first, so that one host's loss costs one replica."""
-    kin = sum(1 for task in worker.tasks if task.startswith(prefix))
-    return (kin, worker.free.processors, worker.name)
+    replicas = sum(1 for task in worker.tasks if task.startswith(prefix))
+    return (replicas, worker.free.processors, worker.name)
 
 
-def why_never(ask: Ask, book: CapacityBook) -> tuple[str, ...]:
+def unsatisfiable_reasons(
+    request: PlacementRequest, inventory: WorkerInventory
+) -> tuple[str, ...]:
     """Say why no worker of the book could hold a task even if it were empty.
 
     Returns:
         The reasons, or nothing where some worker could.
     """
-    members = book.pool(ask.selector).members.values()
+    members = inventory.pool(request.selector).members.values()
     if not members:
-        return (f"no worker matches the selector {ask.selector.text!r}",)
-    if any(ask.needs.fits_in(each.capacity) for each in members):
+        return (f"no worker matches the selector {request.selector.text!r}",)
+    if any(request.needs.fits_in(each.capacity) for each in members):
         return ()
-    best = members.__iter__().__next__().capacity
+    largest = members.__iter__().__next__().capacity
     for each in members:
-        best = best.larger(each.capacity)
-    return _shortfalls(ask.needs, best)
+        largest = largest.elementwise_max(each.capacity)
+    return _shortfalls(request.needs, largest)
 
 
-def _shortfalls(needs: Amounts, best: Amounts) -> tuple[str, ...]:
+def _shortfalls(needs: Amounts, largest: Amounts) -> tuple[str, ...]:
     reasons = []
     for field in attrs.fields(Amounts):
-        wanted, most = getattr(needs, field.name), getattr(best, field.name)
-        if wanted > most:
-            reasons.append(f"{field.name}: a task needs {wanted}, the most is {most}")
+        needed, available = getattr(needs, field.name), getattr(largest, field.name)
+        if needed > available:
+            reasons.append(
+                f"{field.name}: a task needs {needed}, the most is {available}"
+            )
     if not reasons:
         reasons.append("no single worker has all that a task needs")
-    return tuple(reasons[:REASONS_SHOWN])
+    return tuple(reasons[:MAX_REASONS_SHOWN])
--- a/cranberrycleat/platform/adapter.py
+++ b/cranberrycleat/platform/adapter.py
@@ -13,8 +13,8 @@
 from cranberrycleat.platform.store import PlatformStore
 from cranberrycleat.platform.workers import PlatformPermits, PlatformWorkers
 from cranberrycleat.table import Put
-from cranberrycleat.workflow.directory import ConfigFollower, Directory
-from cranberrycleat.workflow.door import Door
+from cranberrycleat.workflow.directory import ConfigFollower, WorkerDirectory
+from cranberrycleat.workflow.job_frontend import JobFrontend
 from cranberrycleat.workflow.ports import NodeSettings
 
 
@@ -28,7 +28,7 @@
     permits: PlatformPermits
     machines: PlatformMachines | None
 
-    def reread(self) -> tuple[str, ...]:
+    def reload_settings(self) -> tuple[str, ...]:
         """Read the settings file again; return what changed."""
         fresh = read_settings()
         changed = tuple(
@@ -48,9 +48,9 @@
         """Return the write that tells the operator of a wave's state."""
         return wave_status(number, state)
 
-    def directory(self) -> Directory:
+    def directory(self) -> WorkerDirectory:
         """Return a reader of the list of workers."""
-        return Directory(
+        return WorkerDirectory(
             store=self.store, table=records.WORKERS_TABLE, read=records.read_worker
         )
 
@@ -64,9 +64,9 @@
             read_wave=read_wave,
         )
 
-    def front(self, door: Door, is_ready: Callable[[], bool]) -> Any:
+    def front(self, job_frontend: JobFrontend, is_ready: Callable[[], bool]) -> Any:
         """Return the ASGI app that callers reach."""
-        return Front(door=door, is_ready=is_ready)
+        return Front(job_frontend=job_frontend, is_ready=is_ready)
 
     def readiness(self, is_ready: Callable[[], bool]) -> Any:
         """Return the ASGI app that the balancer asks."""
--- a/cranberrycleat/platform/front.py
+++ b/cranberrycleat/platform/front.py
@@ -21,26 +21,30 @@
     read_job,
 )
 from cranberrycleat.workflow.access import Granted, key_digest
-from cranberrycleat.workflow.door import Door, DoorAnswer, DoorStatus
+from cranberrycleat.workflow.job_frontend import (
+    JobFrontend,
+    RequestResult,
+    RequestStatus,
+)
 from cranberrycleat.workflow.ports import Queue
 
 STATUSES: Final = {
-    DoorStatus.DONE: 200,
-    DoorStatus.NO_QUEUE: 404,
-    DoorStatus.NO_JOB: 410,
-    DoorStatus.MALFORMED: 400,
-    DoorStatus.DENIED: 401,
-    DoorStatus.REFUSED: 503,
-    DoorStatus.UNKNOWN: 504,
+    RequestStatus.DONE: 200,
+    RequestStatus.NO_QUEUE: 404,
+    RequestStatus.NO_JOB: 410,
+    RequestStatus.MALFORMED: 400,
+    RequestStatus.DENIED: 401,
+    RequestStatus.REFUSED: 503,
+    RequestStatus.UNKNOWN: 504,
 }
 KEY_HEADER: Final = b"authorization"
 KEY_SCHEME: Final = "token"
 CHALLENGE: Final = (b"www-authenticate", b"Token")
 READY: Final = 200
 NOT_READY: Final = 503
-DEFAULT_LIMIT_S: Final = 3.0
+DEFAULT_DEADLINE_S: Final = 3.0
 """For a caller that does not say how long it waits; the sites' own limit."""
-MOST_BODY: Final = 262_144
+MAX_BODY_BYTES: Final = 262_144
 """Bytes; the platform's configuration gives this limit for bodies."""
 
 
@@ -60,7 +64,7 @@
         is_ready: Tells whether the balancer should send callers here.
     """
 
-    door: Door
+    job_frontend: JobFrontend
     is_ready: Callable[[], bool]
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
@@ -70,14 +74,18 @@
         headers = dict(scope["headers"])
         host = headers.get(b"host", b"").decode("latin-1").partition(":")[0]
         path = scope["path"]
-        queue = self.door.queue(host, path)
-        body = await read_body(receive, most=MOST_BODY)
-        if isinstance(queue, DoorAnswer):
+        queue = self.job_frontend.queue(host, path)
+        body = await read_body(receive, max_bytes=MAX_BODY_BYTES)
+        if isinstance(queue, RequestResult):
             answer = queue
         elif body is None:
-            answer = DoorAnswer(status=DoorStatus.MALFORMED, reason="body too large")
+            answer = RequestResult(
+                status=RequestStatus.MALFORMED, reason="body too large"
+            )
         else:
-            answer = await self._judge(scope["method"], queue, path, headers, body)
+            answer = await self._authorize_and_dispatch(
+                scope["method"], queue, path, headers, body
+            )
         is_queue = isinstance(queue, Queue) and path == queue.prefix
         message = _message(answer, is_queue=is_queue)
         if not self.is_ready():
@@ -86,17 +94,17 @@
             message = attrs.evolve(message, headers=(*message.headers, close))
         await send_answer(send, message)
 
-    async def _judge(
+    async def _authorize_and_dispatch(
         self,
         method: str,
         queue: Queue,
         path: str,
         headers: dict[bytes, bytes],
         body: bytes,
-    ) -> DoorAnswer:
+    ) -> RequestResult:
         job_id = path[len(queue.prefix) :]
-        access = self.door.grant(queue, job_id, _key_digest(headers))
-        if isinstance(access, DoorAnswer):
+        access = self.job_frontend.authorize(queue, job_id, _key_digest(headers))
+        if isinstance(access, RequestResult):
             return access
         call = _Call(
             queue=queue,
@@ -105,32 +113,34 @@
             limit_s=_limit_s(headers),
             access=access,
         )
-        return await self._answer(method, call)
+        return await self._dispatch(method, call)
 
-    async def _answer(self, method: str, call: "_Call") -> DoorAnswer:
+    async def _dispatch(self, method: str, call: "_Call") -> RequestResult:
         job_id, workspace = call.job_id, call.access.workspace
         match method:
             case "GET" if not job_id:
-                return self.door.waiting(call.queue)
+                return self.job_frontend.waiting(call.queue)
             case "GET":
-                return await self.door.state(job_id, workspace)
+                return await self.job_frontend.state(job_id, workspace)
             case "DELETE" if job_id:
-                return await self.door.cancel(
+                return await self.job_frontend.cancel(
                     job_id, limit_s=call.limit_s, workspace=workspace
                 )
             case "POST" if job_id:
                 return await self._submit(call)
             case _:
-                return DoorAnswer(status=DoorStatus.MALFORMED, reason="no such call")
+                return RequestResult(
+                    status=RequestStatus.MALFORMED, reason="no such call"
+                )
 
-    async def _submit(self, call: "_Call") -> DoorAnswer:
+    async def _submit(self, call: "_Call") -> RequestResult:
         queue, job_id = call.queue, call.job_id
         try:
             spec = read_job(call.body)
         except errors.FindingsError as exc:
             emit(events.JobMalformed(job=job_id, queue=queue.name, reason=str(exc)))
-            return DoorAnswer(status=DoorStatus.MALFORMED, reason=str(exc))
-        return await self.door.submit(
+            return RequestResult(status=RequestStatus.MALFORMED, reason=str(exc))
+        return await self.job_frontend.submit(
             queue, job_id, spec, limit_s=call.limit_s, access=call.access
         )
 
@@ -156,19 +166,19 @@
 def _limit_s(headers: dict[bytes, bytes]) -> float:
     """Return how long the caller waits, in seconds."""
     text = headers.get(DEADLINE_HEADER, b"")
-    return int(text) / 1000 if text.isdigit() else DEFAULT_LIMIT_S
+    return int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
 
 
-def _message(answer: DoorAnswer, *, is_queue: bool) -> Answer:
+def _message(answer: RequestResult, *, is_queue: bool) -> Answer:
     status = STATUSES[answer.status]
-    if answer.status is DoorStatus.DONE:
+    if answer.status is RequestStatus.DONE:
         if is_queue:
             return Answer(message=QueueAnswer(waiting=answer.waiting))
         return Answer(message=StateAnswer(state=answer.state))
     reason = ReasonAnswer(reason=answer.reason or answer.status.value)
-    if answer.status is DoorStatus.DENIED:
+    if answer.status is RequestStatus.DENIED:
         return Answer(message=reason, status=status, headers=(CHALLENGE,))
-    if answer.status is not DoorStatus.REFUSED:
+    if answer.status is not RequestStatus.REFUSED:
         return Answer(message=reason, status=status)
     seconds = max(1, math.ceil(answer.retry_after_s))
     later = (b"retry-after", str(seconds).encode())
--- a/cranberrycleat/platform/machines.py
+++ b/cranberrycleat/platform/machines.py
@@ -88,12 +88,12 @@
             try:
                 found += [_machine(each) for each in page.machines]
             except ValueError as exc:
-                raise MachinesUnavailable(f"a machine's state: {exc}") from exc
+                raise MachinesUnavailable(f"invalid machine state: {exc}") from exc
             if page.next_token is None:
                 return tuple(found)
             params = {"page_token": str(page.next_token)}
 
-    async def upkeep(
+    async def start_upkeep(
         self, *, machine: str, wave: int, holder: str, epoch: int
     ) -> MachineVerdict:
         """Have a machine's upkeep begin."""
--- a/cranberrycleat/platform/records.py
+++ b/cranberrycleat/platform/records.py
@@ -15,7 +15,7 @@
 from cranberrycleat.workflow.access import key_digest
 from cranberrycleat.workflow.ports import (
     ClusterConfig,
-    PermitPolicy,
+    PermitTiming,
     PoolConfig,
     Queue,
     WorkerEntry,
@@ -25,9 +25,9 @@
 CONFIG_TABLE = "op"
 CONFIG_KEY = "op/config"
 WORKERS_TABLE = "servers"
-LEAVING: Final = {"ready": False, "draining": True}
+LEAVING_BY_STATE: Final = {"ready": False, "draining": True}
 """The states that a worker writes, and whether it is leaving in each."""
-HIGHEST_PORT: Final = 65535
+MAX_PORT: Final = 65535
 
 
 @attrs.frozen(kw_only=True)
@@ -148,10 +148,10 @@
     )
 
 
-def _permits(advice: _WireAdvice | None) -> PermitPolicy | None:
+def _permits(advice: _WireAdvice | None) -> PermitTiming | None:
     if advice is None:
         return None
-    return PermitPolicy(
+    return PermitTiming(
         decide_s=advice.decide_ms / 1000,
         each_s=advice.each_ms / 1000,
         valid_s=advice.valid_ms / 1000,
@@ -174,12 +174,12 @@
     _check_amounts(f"{row.key}.capacity", wire.capacity, found)
     if not wire.service:
         found.add(f"{row.key}.service", errors.MISSING, allowed="a service's name")
-    if wire.state not in LEAVING:
+    if wire.state not in LEAVING_BY_STATE:
         found.add(
             f"{row.key}.state",
             errors.BAD_VALUE,
             value=wire.state,
-            allowed=", ".join(LEAVING),
+            allowed=", ".join(LEAVING_BY_STATE),
         )
     if found.items:
         raise errors.FindingsError(findings=found.sorted())
@@ -188,7 +188,7 @@
         pool=wire.service,
         address=wire.addr,
         data_centre=wire.zone,
-        leaving=LEAVING[wire.state],
+        leaving=LEAVING_BY_STATE[wire.state],
         capacity=wire.capacity.amounts(),
         labels=wire.labels,
         worker_time_ms=round(wire.clock_ms),
@@ -201,7 +201,7 @@
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
-        valid = port.isascii() and port.isdigit() and 0 < int(port) <= HIGHEST_PORT
+        valid = port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
     except ValueError:
         valid = False
     if not valid:
--- a/cranberrycleat/platform/settings.py
+++ b/cranberrycleat/platform/settings.py
@@ -10,9 +10,9 @@
 
 from cranberrycleat import errors
 from cranberrycleat.platform.early import FILE_VARIABLE
-from cranberrycleat.workflow.ports import HostRoom, LeaseBounds, NodeSettings
+from cranberrycleat.workflow.ports import HostResources, LeaseBounds, NodeSettings
 
-CLOCK_ERROR: Final = 0.02
+MAX_CLOCK_RATE_ERROR: Final = 0.02
 """A worker's clock may be this share slow (the platform's page on leases)."""
 
 
@@ -94,10 +94,10 @@
         machines=wire.cloud.addr,
         bounds=LeaseBounds(
             longest_lease_s=bounds.hold_max_ms / 1000,
-            clock_error=CLOCK_ERROR,
+            clock_error=MAX_CLOCK_RATE_ERROR,
             stop_s=bounds.stop_ms / 1000,
         ),
-        room=HostRoom(
+        room=HostResources(
             processors=wire.limits.cpu_share * wire.limits.cores,
             link_mbps=wire.limits.link_mbps,
         ),
--- a/cranberrycleat/platform/store.py
+++ b/cranberrycleat/platform/store.py
@@ -15,20 +15,20 @@
 
 from cranberrycleat import codec, errors
 from cranberrycleat.clock import Clock, MonotonicClock
-from cranberrycleat.http_client import HttpClient, HttpReply, NoAnswer, TooLong
+from cranberrycleat.http_client import HttpClient, HttpReply, NoAnswer, ResponseTooLarge
 from cranberrycleat.logs import part_logger
 from cranberrycleat.table import CommitReply, Row, Transaction
 from cranberrycleat.workflow.answer_timeout import AnswerTimeout
 from cranberrycleat.workflow.ports import (
     Feed,
-    FeedTooLong,
-    HistoryGone,
+    FeedTooLarge,
+    HistoryExpired,
     Snapshot,
     TableChange,
 )
 
-PART: Final = "cell"
-PARTS_OF_THEIR_OWN: Final = frozenset({"inbox"})
+SHARED_PART: Final = "cell"
+DEDICATED_PART_TABLES: Final = frozenset({"inbox"})
 """Tables that are never written together with others. A part carries out one
 transaction after another: in a slow store, what doors write must not keep the
 owner's writes waiting."""
@@ -37,21 +37,21 @@
 OK: Final = 200
 CONDITION_FAILED: Final = 412
 GONE: Final = 410
-REFUSED: Final = frozenset({429, 503})
+REJECTED_STATUSES: Final = frozenset({429, 503})
 PAGE_ROWS: Final = 200
 """Rows read in one call; about 100 KB, 0.2 s on a link of 5 Mbit/s."""
-PAGE_S: Final = 1.5
+PAGE_START_S: Final = 1.5
 """What a page may take to begin, beyond a short answer's time: the pages of other
 tables use the link too."""
-STALL_S: Final = 1.0
+STALL_TIMEOUT_S: Final = 1.0
 """How long an answer that has begun may bring nothing. A slowed table gives a whole
 answer in 0.5 s, and a host slowed five times sees what came within that. How long
 the whole takes is the link's affair: 1 MB is 1.75 s at 5 Mbit/s, and a limit of 1.7
 s left a configuration of that size out of force until its history was gone (22 s)."""
-PAGE_TRIES: Final = 4
+PAGE_ATTEMPTS: Final = 4
 PAGE_PAUSE_S: Final = 0.1
 """A store that turns calls away, or was cut off, is asked again after this."""
-WRITE_S: Final = 0.4
+WRITE_EXTRA_S: Final = 0.4
 """What a transaction may take beyond a read: it is carried out (4 ms) after those
 before it in its part, and in a store slowed 60 times that is 0.24 s each."""
 LOG: Final = part_logger("store")
@@ -130,7 +130,7 @@
     async def _read_one(self, key: str) -> tuple[Row, ...]:
         table, name = _split(key)
         params = {"from": name, "to": name + "\0", "limit": "1"}
-        page, _ = await self._range(table, params)
+        page, _ = await self._read_range(table, params)
         return tuple(_row(each) for each in page.rows)
 
     async def scan(self, *, prefix: str) -> tuple[Row, ...]:
@@ -139,18 +139,20 @@
 
     async def snapshot(self, *, table: str) -> Snapshot:
         """Return a table's rows and the version of the first page."""
-        page, reply = await self._bulk(table, {})
+        page, reply = await self._read_page(table, {})
         rows = [_row(each) for each in page.rows]
         version = page.schema_ver
         size, read_s = len(reply.body), reply.read_s
         while page.truncated and page.rows:
-            page, reply = await self._bulk(table, {"from": page.rows[-1].key + "\0"})
+            page, reply = await self._read_page(
+                table, {"from": page.rows[-1].key + "\0"}
+            )
             rows += [_row(each) for each in page.rows]
             size += len(reply.body)
             read_s += reply.read_s
         return Snapshot(rows=tuple(rows), version=version, size=size, read_s=read_s)
 
-    async def _bulk(
+    async def _read_page(
         self, table: str, params: dict[str, str]
     ) -> tuple[_WireRows, HttpReply]:
         """Read one page of many; one that gets no answer is asked for again.
@@ -159,16 +161,16 @@
         table could never be read over a slow link.
         """
         place = {**params, "limit": str(PAGE_ROWS)}
-        for _ in range(PAGE_TRIES - 1):
+        for _ in range(PAGE_ATTEMPTS - 1):
             try:
-                return await self._range(table, place, PAGE_S)
+                return await self._read_range(table, place, PAGE_START_S)
             except errors.TableUnavailable as exc:
                 LOG.info("A page of %s is read again: %s", table, exc)
                 await asyncio.sleep(PAGE_PAUSE_S)
-        return await self._range(table, place, PAGE_S)
+        return await self._read_range(table, place, PAGE_START_S)
 
     async def follow(
-        self, *, table: str, after: int, wait_s: float, most_bytes: int | None = None
+        self, *, table: str, after: int, wait_s: float, max_bytes: int | None = None
     ) -> Feed:
         """Return the changes of a table after a version."""
         params = {
@@ -176,9 +178,9 @@
             "after": str(after),
             "wait_ms": str(round(wait_s * 1000)),
         }
-        reply = await self._get("/api/rows-feed", params, wait_s, most_bytes)
+        reply = await self._get("/api/rows-feed", params, wait_s, max_bytes)
         if reply.status == GONE:
-            raise HistoryGone(table)
+            raise HistoryExpired(table)
         page = self._page(reply, "rows-feed")
         changes = tuple(
             TableChange(
@@ -198,32 +200,32 @@
         """Apply a transaction if all its conditions hold."""
         wire = _WireTransaction(
             expect_rev=tuple(
-                _WireCheck(**_place(each.key), schema_ver=each.version)
+                _WireCheck(**_wire_key(each.key), schema_ver=each.version)
                 for each in txn.checks
             ),
             writes=tuple(
-                _WirePut(**_place(each.key), value=_pack(each.value))
+                _WirePut(**_wire_key(each.key), value=_encode_value(each.value))
                 for each in txn.puts
             ),
-            remove=tuple(_WireName(**_place(key)) for key in txn.deletes),
+            remove=tuple(_WireName(**_wire_key(key)) for key in txn.deletes),
         )
         body = codec.encode(wire)
-        on_its_way_s = len(body) / self.carries_bytes_s
+        transfer_s = len(body) / self.carries_bytes_s
         reply = await self._send(
-            "POST", "/api/rows-tx", body=body, wait_s=WRITE_S + on_its_way_s
+            "POST", "/api/rows-tx", body=body, wait_s=WRITE_EXTRA_S + transfer_s
         )
         if reply.status == CONDITION_FAILED:
-            now = {f"{r.table}/{r.key}": r for r in _decode(reply, "rows-tx").rows}
-            lost = [
+            current = {f"{r.table}/{r.key}": r for r in _decode(reply, "rows-tx").rows}
+            conflicting = [
                 each.key
                 for each in txn.checks
-                if _version(now.get(each.key)) != each.version
+                if _version(current.get(each.key)) != each.version
             ]
-            return CommitReply(committed=False, conflicts=tuple(lost))
+            return CommitReply(committed=False, conflicts=tuple(conflicting))
         page = self._page(reply, "rows-tx")
         return CommitReply(committed=True, version=page.schema_ver)
 
-    async def _range(
+    async def _read_range(
         self, table: str, params: dict[str, str], wait_s: float = 0.0
     ) -> tuple[_WireRows, HttpReply]:
         place = {"table": table, "part": _part(table), **params}
@@ -235,15 +237,15 @@
         path: str,
         params: dict[str, str],
         wait_s: float,
-        most_bytes: int | None = None,
+        max_bytes: int | None = None,
     ) -> HttpReply:
         return await self._send(
             "GET",
             path,
             params=params,
             wait_s=wait_s,
-            stall_s=STALL_S,
-            most_bytes=most_bytes,
+            stall_s=STALL_TIMEOUT_S,
+            max_bytes=max_bytes,
         )
 
     async def _send(
@@ -255,7 +257,7 @@
         params: dict[str, str] | None = None,
         wait_s: float = 0.0,
         stall_s: float | None = None,
-        most_bytes: int | None = None,
+        max_bytes: int | None = None,
     ) -> HttpReply:
         sent_at = self.clock.now()
         try:
@@ -266,10 +268,10 @@
                 params=params,
                 timeout_s=self.answer_timeout.limit_s() + wait_s,
                 stall_s=stall_s,
-                most_bytes=most_bytes,
+                max_bytes=max_bytes,
             )
-        except TooLong as exc:
-            raise FeedTooLong(str(exc)) from exc
+        except ResponseTooLarge as exc:
+            raise FeedTooLarge(str(exc)) from exc
         except NoAnswer as exc:
             self.answer_timeout.missed()
             raise errors.TableUnavailable(str(exc)) from exc
@@ -278,7 +280,7 @@
         return reply
 
     def _page(self, reply: HttpReply, place: str) -> _WireRows:
-        if reply.status in REFUSED:
+        if reply.status in REJECTED_STATUSES:
             raise errors.TableRefused(f"{place}: status {reply.status}")
         if reply.status != OK:
             text = reply.body[:200].decode(errors="replace")
@@ -301,10 +303,10 @@
 def _part(table: str) -> str:
     if table in FOREIGN_TABLES:
         return ""
-    return table if table in PARTS_OF_THEIR_OWN else PART
+    return table if table in DEDICATED_PART_TABLES else SHARED_PART
 
 
-def _place(key: str) -> dict[str, str]:
+def _wire_key(key: str) -> dict[str, str]:
     table, name = _split(key)
     return {"table": table, "part": _part(table), "key": name}
 
@@ -313,7 +315,7 @@
     return 0 if row is None or row.deleted else row.schema_ver
 
 
-def _pack(text: str) -> str:
+def _encode_value(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
 
 
@@ -321,11 +323,11 @@
     return Row(
         key=f"{wire.table}/{wire.key}",
         version=wire.schema_ver,
-        value=_unpack(wire.value),
+        value=_decode_value(wire.value),
     )
 
 
-def _unpack(value: str) -> str:
+def _decode_value(value: str) -> str:
     """Return a row's text; nothing where it is none.
 
     Whoever reads the row then finds that it is not of its form, and says so
--- a/cranberrycleat/platform/workers.py
+++ b/cranberrycleat/platform/workers.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cranberrycleat import codec
-from cranberrycleat.http_client import ConnectionGone, HttpClient, HttpReply, NoAnswer
+from cranberrycleat.http_client import ConnectionClosed, HttpClient, HttpReply, NoAnswer
 from cranberrycleat.workflow.ports import (
     EndedTask,
     EndKind,
@@ -21,7 +21,7 @@
     WorkerReplaced,
     WorkerUnreachable,
     identity_of,
-    may_be_one_life,
+    may_be_same_incarnation,
 )
 
 T = TypeVar("T")
@@ -119,7 +119,7 @@
             answered; None before.
     """
 
-    http: HttpClient = attrs.field(factory=lambda: HttpClient(most_connections=1))
+    http: HttpClient = attrs.field(factory=lambda: HttpClient(max_connections=1))
     answered_on: int | None = None
 
 
@@ -177,22 +177,24 @@
         channel = self._channels.setdefault(entry.incarnation, _Channel())
         if channel.answered_on is None:
             ended_upto = NOTHING_SEEN
-        over = channel.answered_on if ended_upto else None
+        required_connection = channel.answered_on if ended_upto else None
         wire = _hold(fence, ended_upto, lease_end_ms, wait_ms)
         try:
-            reply = await self._hold(channel, entry, wire, limit_s, over)
-        except ConnectionGone:
+            reply = await self._hold(channel, entry, wire, limit_s, required_connection)
+        except ConnectionClosed:
             wire = _hold(fence, NOTHING_SEEN, lease_end_ms, wait_ms)
             reply = await self._hold(channel, entry, wire, limit_s, None)
         if reply.status != OK:
             return _verdict(reply, entry)
         lists = _decode(reply, _WireLists, entry)
-        if may_be_one_life(lists.born, entry.born_ms):
-            channel.answered_on = channel.http.opened
+        if may_be_same_incarnation(lists.born, entry.born_ms):
+            channel.answered_on = channel.http.connections_opened
         try:
             return _sync_reply(lists)
         except (KeyError, TypeError, ValueError) as exc:
-            raise WorkerUnreachable(f"{entry.worker}: a list's row: {exc!r}") from exc
+            raise WorkerUnreachable(
+                f"{entry.worker}: malformed task list: {exc!r}"
+            ) from exc
 
     async def _hold(
         self,
@@ -200,10 +202,15 @@
         entry: WorkerEntry,
         wire: "_WireHold | _WireLook",
         limit_s: float,
-        over: int | None,
+        required_connection: int | None,
     ) -> HttpReply:
         return await self._call(
-            entry, "/api/hold", wire, limit_s, http=channel.http, over=over
+            entry,
+            "/api/hold",
+            wire,
+            limit_s,
+            http=channel.http,
+            required_connection=required_connection,
         )
 
     async def release(self, entry: WorkerEntry) -> None:
@@ -226,7 +233,7 @@
         limit_s: float,
         *,
         http: HttpClient | None = None,
-        over: int | None = None,
+        required_connection: int | None = None,
     ) -> HttpReply:
         try:
             reply = await (http or self.http).call(
@@ -235,9 +242,9 @@
                 body=codec.encode(body),
                 headers={"Expect-Instance": entry.worker},
                 timeout_s=limit_s,
-                over=over,
+                required_connection=required_connection,
             )
-        except ConnectionGone:
+        except ConnectionClosed:
             raise
         except NoAnswer as exc:
             raise WorkerUnreachable(str(exc)) from exc
--- a/cranberrycleat/preemption.py
+++ b/cranberrycleat/preemption.py
@@ -11,12 +11,12 @@
 import attrs
 
 from cranberrycleat.amounts import Amounts
-from cranberrycleat.book import BookWorker, WorkerState
-from cranberrycleat.jobs import Yield
+from cranberrycleat.inventory import InventoryWorker, WorkerState
+from cranberrycleat.jobs import PreemptionMode
 
-LOOK_AT: Final = 64
+MAX_WORKERS_EXAMINED: Final = 64
 """Workers looked at for one task; enough to find a cheap one, and bounded."""
-THROTTLED_SHARE: Final = 2
+THROTTLE_DIVISOR: Final = 2
 """A throttled task keeps one part in so many of its processors."""
 
 
@@ -31,7 +31,7 @@
     """
 
     rank: int
-    how: Yield
+    how: PreemptionMode
     started: float
 
 
@@ -41,29 +41,29 @@
 
     task: str
     worker: str
-    how: Yield
+    how: PreemptionMode
 
 
-VictimOf = Callable[[str], Victim | None]
+VictimLookup = Callable[[str], Victim | None]
 
 
-def freed(needs: Amounts, how: Yield) -> Amounts:
+def freed_amounts(needs: Amounts, how: PreemptionMode) -> Amounts:
     """Return what a task frees by giving way."""
-    if how is Yield.THROTTLE:
+    if how is PreemptionMode.THROTTLE:
         return Amounts(processors=needs.processors - throttled(needs).processors)
     return needs
 
 
 def throttled(needs: Amounts) -> Amounts:
     """Return what a throttled task is counted with."""
-    return attrs.evolve(needs, processors=needs.processors // THROTTLED_SHARE)
+    return attrs.evolve(needs, processors=needs.processors // THROTTLE_DIVISOR)
 
 
-def make_room(
-    workers: Iterable[BookWorker],
+def choose_victims(
+    workers: Iterable[InventoryWorker],
     needs: Amounts,
     rank: int,
-    victim_of: VictimOf,
+    find_victim: VictimLookup,
     now: float,
 ) -> tuple[Preemption, ...]:
     """Choose the tasks of one worker that give way to a task.
@@ -73,49 +73,53 @@
         hold the task.
     """
     best: tuple[float, tuple[Preemption, ...]] | None = None
-    looked = 0
+    examined = 0
     for worker in workers:
         if worker.state is not WorkerState.LIVE or not needs.fits_in(worker.capacity):
             continue
-        looked += 1
-        found = _on_worker(worker, needs, rank, victim_of, now)
+        examined += 1
+        found = _victims_on_worker(worker, needs, rank, find_victim, now)
         if found is not None and (best is None or found[0] < best[0]):
             best = found
-        if looked >= LOOK_AT or (best is not None and best[0] == 0.0):
+        if examined >= MAX_WORKERS_EXAMINED or (best is not None and best[0] == 0.0):
             break
     return best[1] if best is not None else ()
 
 
-def _on_worker(
-    worker: BookWorker, needs: Amounts, rank: int, victim_of: VictimOf, now: float
+def _victims_on_worker(
+    worker: InventoryWorker,
+    needs: Amounts,
+    rank: int,
+    find_victim: VictimLookup,
+    now: float,
 ) -> tuple[float, tuple[Preemption, ...]] | None:
     """Return the work lost and the preemptions that make room on one worker."""
     free, lost, chosen = worker.free, 0.0, []
-    for cost, task, how in _candidates(worker, rank, victim_of, now):
+    for cost, task, how in _eligible_victims(worker, rank, find_victim, now):
         if needs.fits_in(free):
             break
-        free = free.plus(freed(worker.tasks[task], how))
+        free = free.plus(freed_amounts(worker.tasks[task], how))
         lost += cost
         chosen.append(Preemption(task=task, worker=worker.name, how=how))
     return (lost, tuple(chosen)) if needs.fits_in(free) else None
 
 
-def _candidates(
-    worker: BookWorker, rank: int, victim_of: VictimOf, now: float
-) -> list[tuple[float, str, Yield]]:
+def _eligible_victims(
+    worker: InventoryWorker, rank: int, find_victim: VictimLookup, now: float
+) -> list[tuple[float, str, PreemptionMode]]:
     """Return who may give way on a worker, the cheapest first."""
-    found: list[tuple[float, str, Yield]] = []
+    found: list[tuple[float, str, PreemptionMode]] = []
     for task, needs in worker.tasks.items():
-        victim = victim_of(task)
-        if victim is None or victim.rank <= rank or victim.how is Yield.NEVER:
+        victim = find_victim(task)
+        if victim is None or victim.rank <= rank or victim.how is PreemptionMode.NEVER:
             continue
-        found.append((_cost(needs, victim, now), task, victim.how))
+        found.append((_lost_work(needs, victim, now), task, victim.how))
     found.sort(key=lambda each: (each[0], each[1]))
     return found
 
 
-def _cost(needs: Amounts, victim: Victim, now: float) -> float:
+def _lost_work(needs: Amounts, victim: Victim, now: float) -> float:
     """Return the processor-seconds that are lost if a task gives way."""
-    if victim.how is Yield.STOP:
+    if victim.how is PreemptionMode.STOP:
         return needs.processors * (now - victim.started)
     return 0.0
--- a/cranberrycleat/retry.py
+++ b/cranberrycleat/retry.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-BURST: Final = 10.0
+MAX_SAVED_RETRIES: Final = 10.0
 """Retries that may be saved up, so that a quiet service may retry at all."""
 
 
@@ -23,13 +23,13 @@
     """
 
     share: float
-    saved: float = BURST
+    saved: float = MAX_SAVED_RETRIES
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Note a whole answer."""
-        self.saved = min(BURST, self.saved + self.share)
+        self.saved = min(MAX_SAVED_RETRIES, self.saved + self.share)
 
-    def spend(self) -> bool:
+    def withdraw(self) -> bool:
         """Take one retry from the budget; return whether there was one."""
         if self.saved < 1.0:
             return False
--- a/cranberrycleat/rounds.py
+++ b/cranberrycleat/rounds.py
@@ -19,24 +19,29 @@
 
 from cranberrycleat import registry
 from cranberrycleat.amounts import NOTHING, Amounts, dominant_share
-from cranberrycleat.book import BookWorker, CapacityBook
 from cranberrycleat.history import RunHistory
-from cranberrycleat.jobs import Kind, Priority, Yield
-from cranberrycleat.placement import Ask, Assignment, Policy, why_never
-from cranberrycleat.preemption import Preemption, Victim, make_room
+from cranberrycleat.inventory import InventoryWorker, WorkerInventory
+from cranberrycleat.jobs import Kind, PreemptionMode, Priority
+from cranberrycleat.placement import (
+    Assignment,
+    PlacementPolicy,
+    PlacementRequest,
+    unsatisfiable_reasons,
+)
+from cranberrycleat.preemption import Preemption, Victim, choose_victims
 from cranberrycleat.selectors import Selector
 
-SHORTEST_S: Final = 1.0
+MIN_RUN_S: Final = 1.0
 """Shorter run times count as this, or the ratio would know only the wait."""
-UNKNOWN_RUN_S: Final = 60.0
-RECHECK_S: Final = 5.0
+DEFAULT_RUN_S: Final = 60.0
+RESERVATION_REFRESH_S: Final = 5.0
 """How often a reservation's workers are chosen anew."""
-HOLD_AMONG: Final = 128
+RESERVATION_CANDIDATES: Final = 128
 """Workers that a reservation is chosen among, those with the most room."""
 
 
 @attrs.frozen(kw_only=True)
-class Refusal:
+class UnplacedJob:
     """A job that got less than it asked for in this round.
 
     Attributes:
@@ -61,12 +66,12 @@
     """
 
     assignments: tuple[Assignment, ...]
-    refusals: tuple[Refusal, ...]
+    unplaced: tuple[UnplacedJob, ...]
     preemptions: tuple[Preemption, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
-class Weights:
+class PlannerProfile:
     """How the planner weighs waiting against packing (see `config`).
 
     Attributes:
@@ -80,14 +85,14 @@
     round_s: float = 0.1
 
 
-WEIGHTS: Final = {
-    "waiting": Weights(),
-    "packing": Weights(reserve_after_s=60.0, preempts=False, round_s=1.0),
+PLANNER_PROFILES: Final = {
+    "waiting": PlannerProfile(),
+    "packing": PlannerProfile(reserve_after_s=60.0, preempts=False, round_s=1.0),
 }
 
 
 @attrs.define(kw_only=True)
-class TeamUse:
+class TeamUsage:
     """What one team has in use, and the share it may have.
 
     Attributes:
@@ -115,7 +120,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Blocked:
+class UnfitNeeds:
     """Needs that found no room in this round, so that larger ones need not look."""
 
     needs: Amounts
@@ -144,22 +149,22 @@
         policies: The policy for each kind of job.
     """
 
-    book: CapacityBook
-    whole: Amounts = NOTHING
-    teams: dict[str, TeamUse] = attrs.field(factory=dict)
-    weights: Weights = Weights()
+    inventory: WorkerInventory
+    total_capacity: Amounts = NOTHING
+    teams: dict[str, TeamUsage] = attrs.field(factory=dict)
+    profile: PlannerProfile = PlannerProfile()
     history: RunHistory = attrs.field(factory=RunHistory)
     placed: dict[str, PlacedTask] = attrs.field(factory=dict)
-    policies: dict[str, Policy] = attrs.field(factory=dict)
+    policies: dict[str, PlacementPolicy] = attrs.field(factory=dict)
     reservation: Reservation | None = None
-    _since: dict[str, float] = attrs.field(factory=dict)
-    _could_fit: dict[str, int] = attrs.field(factory=dict)
-    _giving_way: dict[str, str] = attrs.field(factory=dict)
-    _blocked: dict[Selector, list[Blocked]] = attrs.field(factory=dict)
+    _waiting_since: dict[str, float] = attrs.field(factory=dict)
+    _feasible_at: dict[str, int] = attrs.field(factory=dict)
+    _being_preempted: dict[str, str] = attrs.field(factory=dict)
+    _unfit: dict[Selector, list[UnfitNeeds]] = attrs.field(factory=dict)
 
     def plan(
         self,
-        asks: list[Ask],
+        requests: list[PlacementRequest],
         racks: dict[str, dict[str, int]] | None = None,
         *,
         now: float = 0.0,
@@ -171,241 +176,272 @@
             racks: For each job, how many of its tasks run in each rack.
             now: The caller's clock, in seconds.
         """
-        self.book.begin_round(now)
-        self._blocked.clear()
-        self._note_waiting(asks, now)
+        self.inventory.begin_round(now)
+        self._unfit.clear()
+        self._update_waiting(requests, now)
         assignments: list[Assignment] = []
-        refusals: list[Refusal] = []
-        preemptions = list(self._relieve(now))
-        for ask in self._sorted(asks, now):
-            decision = self.decide(ask, (racks or {}).get(ask.job, {}), now)
+        unplaced: list[UnplacedJob] = []
+        preemptions = list(self._relieve_overcommitted(now))
+        for request in self._sorted(requests, now):
+            decision = self.plan_job(request, (racks or {}).get(request.job, {}), now)
             assignments.extend(decision.assignments)
-            refusals.extend(decision.refusals)
+            unplaced.extend(decision.unplaced)
             preemptions.extend(decision.preemptions)
         return Plan(
             assignments=tuple(assignments),
-            refusals=tuple(refusals),
+            unplaced=tuple(unplaced),
             preemptions=tuple(preemptions),
         )
 
-    def decide(self, ask: Ask, racks: dict[str, int], now: float) -> Plan:
+    def plan_job(
+        self, request: PlacementRequest, racks: dict[str, int], now: float
+    ) -> Plan:
         """Decide about one job: places, or why not, and who gives way."""
-        made = self._place(ask, racks, now)
-        left = len(ask.tasks) - len(made)
-        if not left:
-            return Plan(assignments=made, refusals=())
+        new_assignments = self._place(request, racks, now)
+        missing = len(request.tasks) - len(new_assignments)
+        if not missing:
+            return Plan(assignments=new_assignments, unplaced=())
         return Plan(
-            assignments=made,
-            refusals=(self._refusal(ask),),
-            preemptions=self._left_over(ask, left, now),
+            assignments=new_assignments,
+            unplaced=(self._unplaced_job(request),),
+            preemptions=self._handle_unplaced(request, missing, now),
         )
 
     def forget(self, task: str) -> None:
         """Forget a task that holds no place any more."""
         self.placed.pop(task, None)
-        self._giving_way.pop(task, None)
+        self._being_preempted.pop(task, None)
 
     # --- order ----------------------------------------------------------------
 
-    def _note_waiting(self, asks: list[Ask], now: float) -> None:
+    def _update_waiting(self, requests: list[PlacementRequest], now: float) -> None:
         """Remember since when each job has waited."""
-        self._since = {ask.job: self._since.get(ask.job, now) for ask in asks}
-        self._could_fit = {
-            job: seen for job, seen in self._could_fit.items() if job in self._since
+        self._waiting_since = {
+            request.job: self._waiting_since.get(request.job, now)
+            for request in requests
+        }
+        self._feasible_at = {
+            job: seen
+            for job, seen in self._feasible_at.items()
+            if job in self._waiting_since
         }
-        held = self.reservation
-        if held is not None and held.job not in self._since:
-            self._unhold()
+        current = self.reservation
+        if current is not None and current.job not in self._waiting_since:
+            self._cancel_reservation()
 
-    def _sorted(self, asks: list[Ask], now: float) -> list[Ask]:
+    def _sorted(
+        self, requests: list[PlacementRequest], now: float
+    ) -> list[PlacementRequest]:
         """Return the asks in the order in which they are tried."""
         shares = {
-            name: dominant_share(team.used, self.whole)
+            name: dominant_share(team.used, self.total_capacity)
             for name, team in self.teams.items()
         }
 
-        def order(ask: Ask) -> tuple[int, float, float]:
-            run_s = max(SHORTEST_S, ask.run_s or UNKNOWN_RUN_S)
-            waited_s = now - self._since[ask.job]
-            ratio = (waited_s + run_s) / (run_s * run_s * ask.needs.processors)
-            return (ask.rank, -ratio, shares.get(ask.team, 0.0))
+        def order(request: PlacementRequest) -> tuple[int, float, float]:
+            run_s = max(MIN_RUN_S, request.run_s or DEFAULT_RUN_S)
+            waited_s = now - self._waiting_since[request.job]
+            ratio = (waited_s + run_s) / (run_s * run_s * request.needs.processors)
+            return (request.rank, -ratio, shares.get(request.team, 0.0))
 
-        return sorted(asks, key=order)
+        return sorted(requests, key=order)
 
-    def _team(self, name: str) -> TeamUse:
-        return self.teams.setdefault(name, TeamUse())
+    def _team(self, name: str) -> TeamUsage:
+        return self.teams.setdefault(name, TeamUsage())
 
     # --- one job --------------------------------------------------------------
 
     def _place(
-        self, ask: Ask, racks: dict[str, int], now: float
+        self, request: PlacementRequest, racks: dict[str, int], now: float
     ) -> tuple[Assignment, ...]:
-        ends_by = self._ends_by(ask, now)
-        if self._is_blocked(ask, ends_by):
+        ends_by = self._ends_by(request, now)
+        if self._known_unfit(request, ends_by):
             return ()
-        allowed = self._within_quota(ask)
+        allowed = self._count_within_quota(request)
         if allowed == 0:
             return ()
-        ask = attrs.evolve(ask, tasks=ask.tasks[:allowed], ends_by=ends_by)
-        made = self._policy(ask.kind).place(ask=ask, book=self.book, racks=racks)
-        if len(made) < len(ask.tasks) and ask.kind is Kind.BATCH:
-            self._note_blocked(ask)
-        self._note_placed(ask, made, now)
-        return made
-
-    def _ends_by(self, ask: Ask, now: float) -> float:
+        request = attrs.evolve(request, tasks=request.tasks[:allowed], ends_by=ends_by)
+        new_assignments = self._policy(request.kind).place(
+            request=request, inventory=self.inventory, racks=racks
+        )
+        if len(new_assignments) < len(request.tasks) and request.kind is Kind.BATCH:
+            self._record_unfit(request)
+        self._record_placed(request, new_assignments, now)
+        return new_assignments
+
+    def _ends_by(self, request: PlacementRequest, now: float) -> float:
         """Say when the tasks would end; a gang may use what is held for it."""
-        if self.reservation is not None and self.reservation.job == ask.job:
+        if self.reservation is not None and self.reservation.job == request.job:
             return -math.inf
-        return now + ask.run_s if ask.run_s else math.inf
+        return now + request.run_s if request.run_s else math.inf
 
-    def _is_blocked(self, ask: Ask, ends_by: float) -> bool:
+    def _known_unfit(self, request: PlacementRequest, ends_by: float) -> bool:
         """Tell whether as little or less found no room already in this round."""
         return any(
-            each.needs.fits_in(ask.needs) and each.ends_by <= ends_by
-            for each in self._blocked.get(ask.selector, ())
+            each.needs.fits_in(request.needs) and each.ends_by <= ends_by
+            for each in self._unfit.get(request.selector, ())
         )
 
-    def _note_blocked(self, ask: Ask) -> None:
+    def _record_unfit(self, request: PlacementRequest) -> None:
         """Remember the smallest needs that found no room in this round."""
-        known = self._blocked.setdefault(ask.selector, [])
-        mine = Blocked(needs=ask.needs, ends_by=ask.ends_by)
-        known[:] = [
+        smallest = self._unfit.setdefault(request.selector, [])
+        new = UnfitNeeds(needs=request.needs, ends_by=request.ends_by)
+        smallest[:] = [
             each
-            for each in known
-            if not (mine.needs.fits_in(each.needs) and mine.ends_by <= each.ends_by)
+            for each in smallest
+            if not (new.needs.fits_in(each.needs) and new.ends_by <= each.ends_by)
         ]
-        known.append(mine)
+        smallest.append(new)
 
-    def _policy(self, kind: Kind) -> Policy:
+    def _policy(self, kind: Kind) -> PlacementPolicy:
         policy = self.policies.get(kind.value)
         if policy is None:
             policy = registry.find(registry.PluginKind.PLACEMENT, kind.value)()
             self.policies[kind.value] = policy
         return policy
 
-    def _note_placed(self, ask: Ask, made: tuple[Assignment, ...], now: float) -> None:
-        if not made:
+    def _record_placed(
+        self,
+        request: PlacementRequest,
+        new_assignments: tuple[Assignment, ...],
+        now: float,
+    ) -> None:
+        if not new_assignments:
             return
-        team = self._team(ask.team)
-        victim = Victim(rank=ask.rank, how=ask.gives_way, started=now)
-        ends_at = now + ask.run_s if ask.run_s else math.inf
-        for assignment in made:
-            team.used = team.used.plus(ask.needs)
+        team = self._team(request.team)
+        victim = Victim(rank=request.rank, how=request.gives_way, started=now)
+        ends_at = now + request.run_s if request.run_s else math.inf
+        for assignment in new_assignments:
+            team.used = team.used.plus(request.needs)
             placed = PlacedTask(victim=victim, ends_at=ends_at)
             self.placed[assignment.task] = placed
-        if self.reservation is not None and self.reservation.job == ask.job:
-            self._unhold()
+        if self.reservation is not None and self.reservation.job == request.job:
+            self._cancel_reservation()
 
-    def _within_quota(self, ask: Ask) -> int:
+    def _count_within_quota(self, request: PlacementRequest) -> int:
         """Return how many of the tasks the team's quota has room for."""
-        team = self._team(ask.team)
+        team = self._team(request.team)
         if team.quota >= 1.0:
-            return len(ask.tasks)
+            return len(request.tasks)
         used, count = team.used, 0
-        while count < len(ask.tasks):
-            used = used.plus(ask.needs)
-            if dominant_share(used, self.whole) > team.quota:
+        while count < len(request.tasks):
+            used = used.plus(request.needs)
+            if dominant_share(used, self.total_capacity) > team.quota:
                 break
             count += 1
-        if ask.kind is Kind.GANG and count < len(ask.tasks):
+        if request.kind is Kind.GANG and count < len(request.tasks):
             return 0
         return count
 
-    def _refusal(self, ask: Ask) -> Refusal:
-        if self._could_fit.get(ask.job) != self.book.changes:
-            never = why_never(ask, self.book)
+    def _unplaced_job(self, request: PlacementRequest) -> UnplacedJob:
+        if self._feasible_at.get(request.job) != self.inventory.membership_revision:
+            never = unsatisfiable_reasons(request, self.inventory)
             if never:
-                return Refusal(job=ask.job, never=True, reasons=never)
-            self._could_fit[ask.job] = self.book.changes
-        if self._within_quota(ask) == 0:
-            reason = f"the quota of team {ask.team} is used up"
-            return Refusal(job=ask.job, never=False, reasons=(reason,))
-        return Refusal(job=ask.job, never=False, reasons=("no room now",))
+                return UnplacedJob(job=request.job, never=True, reasons=never)
+            self._feasible_at[request.job] = self.inventory.membership_revision
+        if self._count_within_quota(request) == 0:
+            reason = f"the quota of team {request.team} is used up"
+            return UnplacedJob(job=request.job, never=False, reasons=(reason,))
+        return UnplacedJob(job=request.job, never=False, reasons=("no room now",))
 
     # --- what found no room -----------------------------------------------------
 
-    def _left_over(self, ask: Ask, left: int, now: float) -> tuple[Preemption, ...]:
+    def _handle_unplaced(
+        self, request: PlacementRequest, missing: int, now: float
+    ) -> tuple[Preemption, ...]:
         """Make room for urgent work, or hold workers for a gang."""
-        if self._within_quota(ask) == 0:
+        if self._count_within_quota(request) == 0:
             return ()
-        if ask.rank == Priority.URGENT and self.weights.preempts:
-            return self._preempt(ask, left, now)
-        if ask.kind is Kind.GANG:
-            self._maybe_hold(ask, now)
+        if request.rank == Priority.URGENT and self.profile.preempts:
+            return self._preempt(request, missing, now)
+        if request.kind is Kind.GANG:
+            self._maybe_reserve(request, now)
         return ()
 
-    def _preempt(self, ask: Ask, left: int, now: float) -> tuple[Preemption, ...]:
+    def _preempt(
+        self, request: PlacementRequest, missing: int, now: float
+    ) -> tuple[Preemption, ...]:
         """Have others give way; what gives way already counts as room to come."""
-        coming = sum(1 for job in self._giving_way.values() if job == ask.job)
-        made: list[Preemption] = []
-        pool = self.book.pool(ask.selector)
-        while coming < left:
-            found = make_room(pool.roomiest(), ask.needs, ask.rank, self._victim, now)
+        expected = sum(
+            1 for job in self._being_preempted.values() if job == request.job
+        )
+        preemptions: list[Preemption] = []
+        pool = self.inventory.pool(request.selector)
+        while expected < missing:
+            found = choose_victims(
+                pool.most_free_first(), request.needs, request.rank, self._victim, now
+            )
             if not found:
                 break
-            coming += 1
-            made.extend(found)
+            expected += 1
+            preemptions.extend(found)
             for each in found:
-                self._giving_way[each.task] = ask.job
-        return tuple(made)
+                self._being_preempted[each.task] = request.job
+        return tuple(preemptions)
 
     def _victim(self, task: str) -> Victim | None:
-        if task in self._giving_way:
+        if task in self._being_preempted:
             return None
         placed = self.placed.get(task)
         return None if placed is None else placed.victim
 
-    def _relieve(self, now: float) -> tuple[Preemption, ...]:
+    def _relieve_overcommitted(self, now: float) -> tuple[Preemption, ...]:
         """Where reports showed a worker over its capacity, let tasks give way."""
-        made: list[Preemption] = []
-        for worker in self.book.take_overfull():
-            if any(task in self._giving_way for task in worker.tasks):
+        preemptions: list[Preemption] = []
+        for worker in self.inventory.overcommitted_workers():
+            if any(task in self._being_preempted for task in worker.tasks):
                 continue
-            found = make_room([worker], NOTHING, -1, self._victim, now)
+            found = choose_victims([worker], NOTHING, -1, self._victim, now)
             for each in found:
-                stop = each.how is Yield.THROTTLE
-                made.append(attrs.evolve(each, how=Yield.STOP) if stop else each)
-                self._giving_way[each.task] = ""
-        return tuple(made)
-
-    def _maybe_hold(self, ask: Ask, now: float) -> None:
+                stop = each.how is PreemptionMode.THROTTLE
+                preemptions.append(
+                    attrs.evolve(each, how=PreemptionMode.STOP) if stop else each
+                )
+                self._being_preempted[each.task] = ""
+        return tuple(preemptions)
+
+    def _maybe_reserve(self, request: PlacementRequest, now: float) -> None:
         """Hold workers for a gang that has waited long, one gang at a time."""
-        held = self.reservation
-        if held is not None and held.job != ask.job:
+        current = self.reservation
+        if current is not None and current.job != request.job:
             return
-        if held is not None and now - held.chosen_at < RECHECK_S:
+        if current is not None and now - current.chosen_at < RESERVATION_REFRESH_S:
             return
-        if now - self._since[ask.job] < self.weights.reserve_after_s:
+        if now - self._waiting_since[request.job] < self.profile.reserve_after_s:
             return
-        self._unhold()
-        self._hold(ask, now)
+        self._cancel_reservation()
+        self._reserve(request, now)
 
-    def _hold(self, ask: Ask, now: float) -> None:
+    def _reserve(self, request: PlacementRequest, now: float) -> None:
         """Hold the workers that will be able to take the members soonest."""
         places = sorted(
             (at, worker.name)
-            for worker in islice(self.book.pool(ask.selector).roomiest(), HOLD_AMONG)
-            for at in self._free_times(worker, ask, now)
+            for worker in islice(
+                self.inventory.pool(request.selector).most_free_first(),
+                RESERVATION_CANDIDATES,
+            )
+            for at in self._start_times(worker, request, now)
         )
-        chosen = places[: len(ask.tasks)]
-        if len(chosen) < len(ask.tasks) or chosen[-1][0] == math.inf:
+        chosen = places[: len(request.tasks)]
+        if len(chosen) < len(request.tasks) or chosen[-1][0] == math.inf:
             return
         names = tuple(sorted({name for _, name in chosen}))
         for name in names:
-            self.book.workers[name].held_until = chosen[-1][0]
-        self.reservation = Reservation(job=ask.job, workers=names, chosen_at=now)
+            self.inventory.workers[name].reserved_until = chosen[-1][0]
+        self.reservation = Reservation(job=request.job, workers=names, chosen_at=now)
 
-    def _free_times(self, worker: BookWorker, ask: Ask, now: float) -> list[float]:
+    def _start_times(
+        self, worker: InventoryWorker, request: PlacementRequest, now: float
+    ) -> list[float]:
         """Return when the worker could take its first, second ... member."""
-        if not ask.needs.fits_in(worker.capacity):
+        if not request.needs.fits_in(worker.capacity):
             return []
         ends = sorted((self._ends_at(task), task) for task in worker.tasks)
         free, at = worker.free, now
         times: list[float] = []
-        while len(times) < len(ask.tasks):
-            if ask.needs.fits_in(free):
-                free = free.minus(ask.needs)
+        while len(times) < len(request.tasks):
+            if request.needs.fits_in(free):
+                free = free.minus(request.needs)
                 times.append(at)
             elif ends:
                 at, task = ends.pop(0)
@@ -418,9 +454,9 @@
         placed = self.placed.get(task)
         return math.inf if placed is None else placed.ends_at
 
-    def _unhold(self) -> None:
+    def _cancel_reservation(self) -> None:
         if self.reservation is not None:
             for name in self.reservation.workers:
-                if name in self.book.workers:
-                    self.book.workers[name].held_until = 0.0
+                if name in self.inventory.workers:
+                    self.inventory.workers[name].reserved_until = 0.0
         self.reservation = None
--- a/cranberrycleat/routing.py
+++ b/cranberrycleat/routing.py
@@ -12,8 +12,8 @@
 from cranberrycleat.endpoints import EndpointState, ServiceEndpoints
 from cranberrycleat.registry import PluginKind, register
 
-SAMPLE: Final = 2
-DEFAULT: Final = "least-of-two"
+SAMPLE_SIZE: Final = 2
+DEFAULT_POLICY: Final = "least-of-two"
 
 
 class RoutingPolicy(Protocol):
@@ -34,7 +34,7 @@
         """
 
 
-@register(PluginKind.ROUTING, DEFAULT)
+@register(PluginKind.ROUTING, DEFAULT_POLICY)
 @attrs.define(kw_only=True, eq=False)
 class LeastOfTwo:
     """The one of two usable endpoints that will answer sooner; near ones first."""
@@ -45,20 +45,20 @@
         self, service: ServiceEndpoints, *, now: float, tried: frozenset[str]
     ) -> EndpointState | None:
         """Pick an endpoint that may get new work now."""
-        for group in (service.near, service.far):
+        for group in (service.local, service.remote):
             usable = [
                 each
                 for each in group
                 if each.usable(now) and each.endpoint.url not in tried
             ]
             if usable:
-                return self._least(usable)
+                return self._least_loaded(usable)
         return None
 
-    def _least(self, usable: list[EndpointState]) -> EndpointState:
-        if len(usable) > SAMPLE:
-            usable = self.rng.sample(usable, SAMPLE)
-        return min(usable, key=EndpointState.expected_s)
+    def _least_loaded(self, usable: list[EndpointState]) -> EndpointState:
+        if len(usable) > SAMPLE_SIZE:
+            usable = self.rng.sample(usable, SAMPLE_SIZE)
+        return min(usable, key=EndpointState.expected_latency_s)
 
 
 @register(PluginKind.ROUTING, "round-robin")
--- a/cranberrycleat/scheduler.py
+++ b/cranberrycleat/scheduler.py
@@ -21,23 +21,23 @@
 from cranberrycleat.config import Configuration
 from cranberrycleat.http_server import HttpServer
 from cranberrycleat.keys import SHARD, inbox_prefix, owner_key
-from cranberrycleat.lease import Changes, ConditionFailed, Deposed, OwnershipLease
-from cranberrycleat.lifecycle import Background
+from cranberrycleat.lease import Changes, ConditionFailed, LeaseLost, OwnershipLease
+from cranberrycleat.lifecycle import BackgroundTasks
 from cranberrycleat.link import LinkTimes, WorkerLink, inherited_leases, sync_interval_s
 from cranberrycleat.logs import part_logger
 from cranberrycleat.messages import (
+    AttemptRef,
     Digest,
     DigestReply,
     EndpointSet,
     HostEntry,
     InboxEntry,
-    TaskMark,
 )
 from cranberrycleat.metrics import Metrics
 from cranberrycleat.options import SchedulerOptions
 from cranberrycleat.orders import endpoints, start_orders, stop_orders
 from cranberrycleat.peers import Peers
-from cranberrycleat.rounds import WEIGHTS, Plan, TeamUse
+from cranberrycleat.rounds import PLANNER_PROFILES, Plan, TeamUsage
 from cranberrycleat.serve import make_app
 from cranberrycleat.shard import Shard
 from cranberrycleat.table import Row
@@ -45,11 +45,11 @@
 from cranberrycleat.watcher import ConfigWatcher
 
 LOG: Final[logging.Logger] = part_logger("scheduler")
-RENEW_AT: Final = 0.5
+RENEW_FRACTION: Final = 0.5
 """The share of the lease that may pass before it is renewed."""
-WATCHES_PER_LEASE: Final = 5
-HOSTS_S: Final = 2.0
-DRAIN_WAIT_S: Final = 10.0
+POLLS_PER_LEASE: Final = 5
+HOST_POLL_S: Final = 2.0
+ROUND_DRAIN_TIMEOUT_S: Final = 10.0
 """The longest that a round under way is waited for at shutdown, in seconds."""
 
 
@@ -62,7 +62,7 @@
 
     changes: Changes
     plan: Plan
-    marks: dict[str, list[TaskMark]]
+    marks: dict[str, list[AttemptRef]]
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -96,11 +96,11 @@
     peers: Peers = attrs.field(init=False)
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     _server: HttpServer = attrs.field(init=False)
-    _background: Background = attrs.field(factory=Background)
-    _link_tasks: Background = attrs.field(factory=Background)
+    _background: BackgroundTasks = attrs.field(factory=BackgroundTasks)
+    _link_tasks: BackgroundTasks = attrs.field(factory=BackgroundTasks)
     _pending: PendingWrite | None = None
-    _hosts_at: float = float("-inf")
-    _inherited_silent: bool = False
+    _hosts_polled_at: float = float("-inf")
+    _inherited_unreleased: bool = False
     _owner_task: "asyncio.Task[None] | None" = None
     _unreadable: set[str] = attrs.field(factory=set)
     _endpoint_sets: dict[str, EndpointSet] = attrs.field(factory=dict)
@@ -128,8 +128,8 @@
             digest_s=self.cfg.digest_s,
         )
         self.metrics = Metrics(role="scheduler", name=self.cfg.name)
-        self.metrics.watch("owner", lambda: float(self.lease.authority()))
-        self.metrics.watch("workers", lambda: float(len(self.links)))
+        self.metrics.add_gauge("owner", lambda: float(self.lease.is_valid()))
+        self.metrics.add_gauge("workers", lambda: float(len(self.links)))
         app = make_app(self.handlers(self))
         self._server = HttpServer(app=app, host=self.cfg.listen, port=self.cfg.port)
 
@@ -141,10 +141,10 @@
     async def start(self) -> None:
         """Begin to serve and to work."""
         await self._server.start()
-        self._owner_task = self._background.spawn(self._own())
+        self._owner_task = self._background.spawn(self._run_ownership())
         self._background.spawn(self._watch_config())
         for url in self.cfg.peers:
-            self._background.spawn(self.peers.talk_to(url))
+            self._background.spawn(self.peers.gossip_with(url))
 
     async def drain(self) -> None:
         """Hand the shard over and go on answering until the balancer knows."""
@@ -152,7 +152,7 @@
         self.changed.set()
         if self._owner_task is not None:
             # Two writers of one lease would take each other for a successor.
-            await asyncio.wait([self._owner_task], timeout=DRAIN_WAIT_S)
+            await asyncio.wait([self._owner_task], timeout=ROUND_DRAIN_TIMEOUT_S)
         await self._hand_over()
         await asyncio.sleep(self.cfg.drain_s)
 
@@ -165,28 +165,28 @@
 
     # --- owner and candidate ------------------------------------------------
 
-    async def _own(self) -> None:
+    async def _run_ownership(self) -> None:
         while not self.draining:
             try:
                 await self._step()
-                self._table_answers(True)
+                self._set_table_reachable(True)
             except errors.TableUnavailable:
-                self._table_answers(False)
-            except (Deposed, ConditionFailed):
-                await self._deposed()
+                self._set_table_reachable(False)
+            except (LeaseLost, ConditionFailed):
+                await self._ownership_lost()
             except Exception:
                 # An owner that stopped here would look alive and do nothing.
                 LOG.exception("A round failed; the next one tries again.")
             await self._wait()
 
-    def _table_answers(self, reachable: bool) -> None:
+    def _set_table_reachable(self, reachable: bool) -> None:
         if reachable != self.table_reachable:
             state = "answers again" if reachable else "does not answer"
             LOG.warning("The platform's table %s.", state)
         self.table_reachable = reachable
 
     async def _wait(self) -> None:
-        candidate_s = self.cfg.lease_s / WATCHES_PER_LEASE
+        candidate_s = self.cfg.lease_s / POLLS_PER_LEASE
         timeout = self.cfg.round_s if self.shard is not None else candidate_s
         try:
             await asyncio.wait_for(self.changed.wait(), timeout)
@@ -197,7 +197,7 @@
     async def _step(self) -> None:
         if self.shard is not None:
             if not self.lease.is_holder:
-                raise Deposed(self.lease.key)
+                raise LeaseLost(self.lease.key)
             await self._round(self.shard)
         elif await self.lease.acquire():
             await self._take_over()
@@ -211,16 +211,16 @@
         shard.load(row for row in rows if row.key != self.lease.key)
         self.shard = shard
         self._pending = None
-        self._hosts_at = float("-inf")
-        self._inherited_silent = self.lease.takeover_silent
+        self._hosts_polled_at = float("-inf")
+        self._inherited_unreleased = self.lease.takeover_unreleased
         self._apply_config()
-        for name in shard.book.workers:
-            self._link(_unlisted(name, self.cfg.data_centre))
+        for name in shard.inventory.workers:
+            self._open_link(_placeholder_host(name, self.cfg.data_centre))
         LOG.info("Owner of %s, epoch %d.", self.cfg.data_centre, self.lease.epoch)
         self.metrics.count("takeovers")
         await self._round(shard)
 
-    async def _deposed(self) -> None:
+    async def _ownership_lost(self) -> None:
         if self.shard is not None:
             LOG.warning("No longer owner of %s.", self.cfg.data_centre)
         self.shard = None
@@ -240,33 +240,33 @@
             await self._link_tasks.cancel()
             await self.lease.release()
             LOG.info("Handed over %s.", self.cfg.data_centre)
-        except (errors.TableUnavailable, Deposed, ConditionFailed):
+        except (errors.TableUnavailable, LeaseLost, ConditionFailed):
             LOG.warning("Could not hand over; the lease will run out.")
-        await self._deposed()
+        await self._ownership_lost()
 
     # --- rounds -------------------------------------------------------------
 
     async def _round(self, shard: Shard) -> None:
-        if self._pending is not None or not self.lease.authority():
+        if self._pending is not None or not self.lease.is_valid():
             await self._flush(shard)
             return
-        await self._learn_hosts(shard)
-        taken = await self._take_inbox(shard)
+        await self._poll_hosts(shard)
+        taken = await self._apply_inbox(shard)
         plan = shard.plan(self.clock.now())
         now = self.clock.now()
-        shard.note_finished(now)
+        shard.record_finished(now)
         deletes = [row.key for row in taken]
-        deletes += shard.forget_finished(now - self.cfg.job_keep_s)
+        deletes += shard.remove_finished(now - self.cfg.job_keep_s)
         changes = Changes(puts=shard.dirty_puts(), deletes=tuple(deletes))
         if changes.puts or changes.deletes or self._renewal_due():
             self._pending = PendingWrite(
-                changes=changes, plan=plan, marks=shard.take_unsettled()
+                changes=changes, plan=plan, marks=shard.take_pending_acks()
             )
             await self._flush(shard)
 
     def _renewal_due(self) -> bool:
         left = self.lease.valid_until() - self.clock.now()
-        return left < self.cfg.lease_s * RENEW_AT
+        return left < self.cfg.lease_s * RENEW_FRACTION
 
     async def _flush(self, shard: Shard) -> None:
         """Write what is pending, or just renew, and then let orders leave."""
@@ -289,7 +289,7 @@
             if link.settled or start_orders(shard, name) or stop_orders(shard, name):
                 link.wake.set()
 
-    async def _take_inbox(self, shard: Shard) -> tuple[Row, ...]:
+    async def _apply_inbox(self, shard: Shard) -> tuple[Row, ...]:
         rows = await self.platform.scan(prefix=inbox_prefix(self.cfg.data_centre))
         taken = []
         for row in sorted(rows, key=lambda each: each.version):
@@ -297,9 +297,9 @@
             if entry is None:
                 continue
             taken.append(row)
-            shard.take(entry)
+            shard.apply_change(entry)
             if entry.declare_dead in self.links:
-                self.links[entry.declare_dead].vouched_dead()
+                self.links[entry.declare_dead].mark_declared_dead()
         return tuple(taken)
 
     def _inbox_entry(self, row: Row) -> InboxEntry | None:
@@ -312,25 +312,25 @@
                 self._unreadable.add(row.key)
             return None
 
-    async def _learn_hosts(self, shard: Shard) -> None:
+    async def _poll_hosts(self, shard: Shard) -> None:
         now = self.clock.now()
-        if now - self._hosts_at < HOSTS_S:
+        if now - self._hosts_polled_at < HOST_POLL_S:
             return
         listed = await self.platform.hosts()
-        self._hosts_at = now
-        for entry in shard.learn_hosts(listed.hosts):
-            self._link(entry)
+        self._hosts_polled_at = now
+        for entry in shard.update_hosts(listed.hosts):
+            self._open_link(entry)
         pace = sync_interval_s(workers=len(self.links), times=self._times())
         for link in self.links.values():
             link.sync_s = pace
         names = {entry.name for entry in listed.hosts}
         for name in [each for each in self.links if each not in names]:
-            await self._forget_if_gone(shard, name)
+            await self._remove_if_gone(shard, name)
 
-    async def _forget_if_gone(self, shard: Shard, name: str) -> None:
+    async def _remove_if_gone(self, shard: Shard, name: str) -> None:
         """Forget a worker that is off the list, silent, and has nothing left."""
         link = self.links[name]
-        if not link.is_silent() or shard.book.workers[name].tasks:
+        if not link.is_silent() or shard.inventory.workers[name].tasks:
             return
         LOG.info("worker %s is gone", name)
         del self.links[name]
@@ -340,12 +340,12 @@
         if link.client is not None:
             await link.client.close()
 
-    def _link(self, entry: HostEntry) -> None:
+    def _open_link(self, entry: HostEntry) -> None:
         shard = self.shard
         assert shard is not None
         times = self._times()
         inherited = inherited_leases(
-            now=self.clock.now(), silent=self._inherited_silent, times=times
+            now=self.clock.now(), silent=self._inherited_unreleased, times=times
         )
         known = self.links.get(entry.name)
         make = registry.find(registry.PluginKind.WORKER, self.cfg.worker_client)
@@ -393,10 +393,10 @@
         if current is None or self.shard is None:
             return
         cfg = codec.decode(current.text, Configuration, place="configuration")
-        self.shard.planner.weights = WEIGHTS[cfg.placement.weight]
+        self.shard.planner.profile = PLANNER_PROFILES[cfg.placement.weight]
         teams = self.shard.planner.teams
         for name in {*teams, *cfg.placement.quotas}:
-            team = teams.setdefault(name, TeamUse())
+            team = teams.setdefault(name, TeamUsage())
             team.quota = cfg.placement.quotas.get(name, 1.0)
         self.changed.set()
 
@@ -411,16 +411,16 @@
             draining=self.draining,
         )
 
-    def hear(self, reply: DigestReply) -> None:
+    def apply_reply(self, reply: DigestReply) -> None:
         """Take in a newer configuration that a peer holds."""
         if self.watcher.offer(reply.config):
             self._apply_config()
 
     def answer_digest(self, asked: Digest) -> DigestReply:
         """Return the configuration and the endpoints that the asker lacks."""
-        self.peers.heard(asked)
+        self.peers.record_digest(asked)
         newer = self.watcher.version > asked.config_version
-        sets = tuple(each for each in self._own_sets() if _lacks(asked, each))
+        sets = tuple(each for each in self._own_sets() if _is_missing(asked, each))
         return DigestReply(
             digest=self.digest(),
             sets=sets,
@@ -440,7 +440,7 @@
         )
 
 
-def _lacks(asked: Digest, offered: EndpointSet) -> bool:
+def _is_missing(asked: Digest, offered: EndpointSet) -> bool:
     for seen in asked.seen:
         if seen.data_centre == offered.data_centre:
             ours = (offered.epoch, offered.revision)
@@ -448,7 +448,7 @@
     return asked.role == "gateway"
 
 
-def _unlisted(name: str, data_centre: str) -> HostEntry:
+def _placeholder_host(name: str, data_centre: str) -> HostEntry:
     """Return an entry for a worker that has work but is on no list yet."""
     return HostEntry(
         name=name,
--- a/cranberrycleat/scheduler_api.py
+++ b/cranberrycleat/scheduler_api.py
@@ -136,7 +136,7 @@
 
 def worker_list(scheduler: Scheduler) -> WorkerList:
     """Return the workers of the shard that this process owns, if any."""
-    workers = scheduler.shard.book.workers.values() if scheduler.shard else ()
+    workers = scheduler.shard.inventory.workers.values() if scheduler.shard else ()
     return WorkerList(
         data_centre=scheduler.cfg.data_centre,
         workers=tuple(
@@ -213,7 +213,7 @@
     return SchedulerStatus(
         name=scheduler.cfg.name,
         data_centre=scheduler.cfg.data_centre,
-        owner=scheduler.lease.authority(),
+        owner=scheduler.lease.is_valid(),
         epoch=scheduler.lease.epoch,
         table_reachable=scheduler.table_reachable,
         config_version=scheduler.watcher.version,
@@ -244,7 +244,7 @@
             for name, link in scheduler.links.items()
         },
         "jobs": shard.jobs if shard else {},
-        "live": shard.live if shard else {},
+        "live": shard.active if shard else {},
         "config": scheduler.watcher.current,
         "peers": [peer.last for peer in scheduler.peers.known.values()],
     }
--- a/cranberrycleat/selectors.py
+++ b/cranberrycleat/selectors.py
@@ -100,8 +100,8 @@
         key, operator, value = match.groups()
         return In(key=key, values=frozenset({value}), negated=operator == "!=")
     if match := _IN.fullmatch(part):
-        key, operator, listed = match.groups()
-        values = frozenset(each.strip() for each in listed.split(","))
+        key, operator, items = match.groups()
+        values = frozenset(each.strip() for each in items.split(","))
         if not all(re.fullmatch(_NAME, each) for each in values):
             return None
         return In(key=key, values=values, negated=operator != "in")
--- a/cranberrycleat/serve.py
+++ b/cranberrycleat/serve.py
@@ -16,7 +16,7 @@
 from cranberrycleat.metrics import Metrics
 
 PROBLEM_TYPE: Final = "application/problem+json"
-MAX_BODY: Final = 4 * 1024 * 1024
+MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
 
 @attrs.frozen(kw_only=True)
@@ -107,7 +107,7 @@
         route_handlers=list(handlers),
         logging_config=None,
         openapi_config=None,
-        request_max_body_size=MAX_BODY,
+        request_max_body_size=MAX_BODY_BYTES,
         exception_handlers={
             errors.ProblemError: _on_problem,
             errors.FindingsError: _on_findings,
--- a/cranberrycleat/settings.py
+++ b/cranberrycleat/settings.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Whole:
+class Integer:
     """A whole number within bounds."""
 
     low: int
@@ -45,7 +45,7 @@
 class Choice:
     """One of a few words."""
 
-    words: tuple[str, ...]
+    choices: tuple[str, ...]
 
 
 @attrs.frozen(kw_only=True)
@@ -68,7 +68,7 @@
     """Any text."""
 
 
-Rule = Name | Whole | Number | Choice | Url | Urls | Listen | Text
+Rule = Name | Integer | Number | Choice | Url | Urls | Listen | Text
 
 _IP: Final = r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\])"
 _URL: Final = re.compile(rf"https?://{_IP}:\d{{1,5}}")
@@ -93,12 +93,12 @@
     match rule:
         case Name():
             return NAME_RULE
-        case Whole(low=low, high=high):
+        case Integer(low=low, high=high):
             return f"a whole number from {low} to {high}"
         case Number(low=low, high=high):
             return f"a number from {low:g} to {high:g}"
-        case Choice(words=words):
-            return ", ".join(words)
+        case Choice(choices=choices):
+            return ", ".join(choices)
         case Url():
             return "http://IP:PORT"
         case Urls():
@@ -117,28 +117,28 @@
     """
     match rule:
         case Name():
-            good = NAME.fullmatch(text) is not None
-            return _if(good, text)
-        case Whole(low=low, high=high):
+            valid = NAME.fullmatch(text) is not None
+            return _require(valid, text)
+        case Integer(low=low, high=high):
             whole = int(text)
-            return _if(low <= whole <= high, whole)
+            return _require(low <= whole <= high, whole)
         case Number(low=low, high=high):
             number = float(text)
-            return _if(low <= number <= high, number)
-        case Choice(words=words):
-            return _if(text in words, text)
+            return _require(low <= number <= high, number)
+        case Choice(choices=choices):
+            return _require(text in choices, text)
         case Url():
-            return _if(_URL.fullmatch(text) is not None, text)
+            return _require(_URL.fullmatch(text) is not None, text)
         case Urls():
             urls = tuple(each.strip() for each in text.split(",") if each.strip())
-            return _if(all(_URL.fullmatch(each) for each in urls), urls)
+            return _require(all(_URL.fullmatch(each) for each in urls), urls)
         case Listen():
-            return _if(re.fullmatch(_IP, text) is not None, text)
+            return _require(re.fullmatch(_IP, text) is not None, text)
         case Text():
             return text
 
 
-def _if(holds: bool, value: T) -> T:
+def _require(holds: bool, value: T) -> T:
     if not holds:
         raise ValueError(value)
     return value
@@ -200,14 +200,14 @@
             place, text = variable(field), environ[variable(field)]
         if text is None:
             if field.default is attrs.NOTHING:
-                what = allowed(rule_of(field))
-                found.add(place, errors.MISSING, allowed=what)
+                allowed_values = allowed(rule_of(field))
+                found.add(place, errors.MISSING, allowed=allowed_values)
             continue
         try:
             values[field.name] = convert(rule_of(field), text)
         except ValueError:
-            what = allowed(rule_of(field))
-            found.add(place, errors.BAD_VALUE, value=text, allowed=what)
+            allowed_values = allowed(rule_of(field))
+            found.add(place, errors.BAD_VALUE, value=text, allowed=allowed_values)
     if found.items:
         raise errors.FindingsError(findings=found.sorted())
     cfg = cls(**values)
--- a/cranberrycleat/shard.py
+++ b/cranberrycleat/shard.py
@@ -16,37 +16,37 @@
 
 from cranberrycleat import codec, selectors
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.book import BookWorker, CapacityBook, WorkerState
 from cranberrycleat.clock import MonotonicClock
+from cranberrycleat.inventory import InventoryWorker, WorkerInventory, WorkerState
 from cranberrycleat.jobs import (
     FINAL_STATES,
     JobRow,
     Kind,
+    PreemptionMode,
     TaskRecord,
     TaskState,
-    Yield,
     job_of,
     task_id,
 )
 from cranberrycleat.keys import job_key, worker_key
 from cranberrycleat.messages import (
+    AttemptRef,
     HostEntry,
     HostState,
     InboxEntry,
     JobPart,
     LabelChange,
     Outcome,
-    TaskMark,
     TaskReport,
 )
-from cranberrycleat.placement import Ask
+from cranberrycleat.placement import PlacementRequest
 from cranberrycleat.preemption import throttled
-from cranberrycleat.rounds import Plan, RoundPlanner, TeamUse
+from cranberrycleat.rounds import Plan, RoundPlanner, TeamUsage
 from cranberrycleat.table import Put, Row
 
-SETTLED_S: Final = 1.0
+STABLE_AFTER_S: Final = 1.0
 """An attempt that has run for so long is not what crashed its worker."""
-MOST_CRASHES: Final = 5
+MAX_WORKER_CRASHES: Final = 5
 """Workers in a row that a task may crash just after it has begun. One is no evidence,
 since all that had begun there is lost with it."""
 
@@ -63,7 +63,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class LiveTask:
+class ActiveTask:
     """What the owner knows of a placed task beyond its record.
 
     Attributes:
@@ -81,7 +81,7 @@
     running: bool = False
     since: float = 0.0
     stopping: bool = False
-    how: Yield = Yield.STOP
+    how: PreemptionMode = PreemptionMode.STOP
     needs: Amounts = NOTHING
 
 
@@ -91,23 +91,23 @@
 
     data_centre: str
     now: Callable[[], float] = attrs.field(factory=lambda: MonotonicClock().now)
-    book: CapacityBook = attrs.field(factory=CapacityBook)
+    inventory: WorkerInventory = attrs.field(factory=WorkerInventory)
     jobs: dict[str, JobRow] = attrs.field(factory=dict)
     hosts: dict[str, HostEntry] = attrs.field(factory=dict)
     worker_rows: dict[str, WorkerRow] = attrs.field(factory=dict)
-    live: dict[str, LiveTask] = attrs.field(factory=dict)
-    unsettled: dict[str, list[TaskMark]] = attrs.field(factory=dict)
-    strays: dict[str, dict[str, int]] = attrs.field(factory=dict)
+    active: dict[str, ActiveTask] = attrs.field(factory=dict)
+    pending_acks: dict[str, list[AttemptRef]] = attrs.field(factory=dict)
+    orphaned_attempts: dict[str, dict[str, int]] = attrs.field(factory=dict)
     endpoint_revision: int = 0
     planner: RoundPlanner = attrs.field(
         default=attrs.Factory(
-            lambda self: RoundPlanner(book=self.book), takes_self=True
+            lambda self: RoundPlanner(inventory=self.inventory), takes_self=True
         )
     )
     _dirty: set[str] = attrs.field(factory=set)
     _dirty_workers: set[str] = attrs.field(factory=set)
-    _open: set[str] = attrs.field(factory=set)
-    _touched: set[str] = attrs.field(factory=set)
+    _jobs_with_pending: set[str] = attrs.field(factory=set)
+    _changed_jobs: set[str] = attrs.field(factory=set)
     _ended_at: dict[str, float] = attrs.field(factory=dict)
 
     # --- loading ------------------------------------------------------------
@@ -128,21 +128,21 @@
         for record in job.tasks:
             if record.state is TaskState.PLACED:
                 self._adopt(job, record)
-        self._note_open(job)
+        self._update_pending(job)
 
     def _adopt(self, job: JobRow, record: TaskRecord) -> None:
-        if record.worker not in self.book.workers:
-            self.book.add_worker(self._unlisted(record.worker))
+        if record.worker not in self.inventory.workers:
+            self.inventory.add_worker(self._placeholder_worker(record.worker))
         task = task_id(job.spec.name, record.index)
-        self.book.adopt(record.worker, task, job.spec.needs)
-        self.live[task] = LiveTask(
+        self.inventory.adopt(record.worker, task, job.spec.needs)
+        self.active[task] = ActiveTask(
             durable=True, stopping=job.cancelled, needs=job.spec.needs
         )
-        self._count_team(job, job.spec.needs)
+        self._add_team_usage(job, job.spec.needs)
 
-    def _unlisted(self, name: str) -> BookWorker:
+    def _placeholder_worker(self, name: str) -> InventoryWorker:
         """Return a worker that has work but that no list names yet."""
-        return BookWorker(
+        return InventoryWorker(
             name=name,
             data_centre=self.data_centre,
             rack="",
@@ -153,24 +153,24 @@
 
     # --- workers ------------------------------------------------------------
 
-    def learn_hosts(self, entries: Iterable[HostEntry]) -> tuple[HostEntry, ...]:
+    def update_hosts(self, entries: Iterable[HostEntry]) -> tuple[HostEntry, ...]:
         """Take in the platform's list; return the workers that are new."""
-        fresh = []
+        added = []
         for entry in entries:
             if entry.data_centre != self.data_centre:
                 continue
             known = self.hosts.get(entry.name)
             if known is None:
-                fresh.append(entry)
-                self._list_worker(entry)
+                added.append(entry)
+                self._add_listed_worker(entry)
             elif entry.state is HostState.LEAVING:
                 self.worker_leaving(entry.name)
             self.hosts[entry.name] = entry
-        return tuple(fresh)
+        return tuple(added)
 
-    def _list_worker(self, entry: HostEntry) -> None:
-        known = self.book.workers.get(entry.name)
-        worker = BookWorker(
+    def _add_listed_worker(self, entry: HostEntry) -> None:
+        known = self.inventory.workers.get(entry.name)
+        worker = InventoryWorker(
             name=entry.name,
             data_centre=entry.data_centre,
             rack=entry.rack,
@@ -179,19 +179,19 @@
             state=WorkerState.SILENT,
         )
         if known is not None:
-            self.book.remove_worker(entry.name)
-        self.book.add_worker(worker)
+            self.inventory.remove_worker(entry.name)
+        self.inventory.add_worker(worker)
         for task, needs in (known.tasks if known else {}).items():
-            self.book.adopt(entry.name, task, needs)
-        self.planner.whole = self.planner.whole.plus(entry.capacity)
+            self.inventory.adopt(entry.name, task, needs)
+        self.planner.total_capacity = self.planner.total_capacity.plus(entry.capacity)
 
     def forget_worker(self, name: str) -> None:
         """Forget a worker that is gone and has no tasks."""
-        worker = self.book.workers[name]
-        self.book.remove_worker(name)
+        worker = self.inventory.workers[name]
+        self.inventory.remove_worker(name)
         self.hosts.pop(name, None)
-        self.strays.pop(name, None)
-        self.planner.whole = self.planner.whole.minus(worker.capacity)
+        self.orphaned_attempts.pop(name, None)
+        self.planner.total_capacity = self.planner.total_capacity.minus(worker.capacity)
 
     def _labels(self, entry: HostEntry) -> dict[str, str]:
         labels: dict[str, str | None] = {
@@ -202,48 +202,48 @@
         }
         return {key: value for key, value in labels.items() if value is not None}
 
-    def worker_answers(self, name: str) -> None:
+    def worker_responded(self, name: str) -> None:
         """Note that a worker has answered, so that it may draw work."""
-        worker = self.book.workers[name]
+        worker = self.inventory.workers[name]
         if worker.state is WorkerState.SILENT:
             worker.state = WorkerState.LIVE
             self.endpoint_revision += 1
 
     def worker_silent(self, name: str) -> None:
         """Note that a worker does not answer; what it runs stays counted."""
-        worker = self.book.workers[name]
+        worker = self.inventory.workers[name]
         if worker.state is not WorkerState.SILENT:
             worker.state = WorkerState.SILENT
             self.endpoint_revision += 1
 
     def worker_leaving(self, name: str) -> None:
         """Note that a worker is leaving: it draws no more work."""
-        worker = self.book.workers.get(name)
+        worker = self.inventory.workers.get(name)
         if worker is not None and worker.state is not WorkerState.LEAVING:
             worker.state = WorkerState.LEAVING
             self.endpoint_revision += 1
 
     def evacuate(self, name: str) -> None:
         """Stop the services on a leaving worker, so that they can go elsewhere."""
-        for task in self.book.workers[name].tasks:
+        for task in self.inventory.workers[name].tasks:
             if self.jobs[job_of(task)].spec.kind is Kind.SERVICE:
-                self.live[task].stopping = True
+                self.active[task].stopping = True
 
-    def leases_over(self, name: str, *, keep: bool) -> None:
+    def expire_leases(self, name: str, *, keep: bool) -> None:
         """Give up tasks on a silent worker, all their leases having run out.
 
         Args:
             name: The worker.
             keep: Whether that is proved for tasks of `keep` jobs too.
         """
-        for task in list(self.book.workers[name].tasks):
+        for task in list(self.inventory.workers[name].tasks):
             job = self.jobs[job_of(task)]
             if keep or not job.spec.keeps:
-                self._lost(job, self.record(task))
+                self._attempt_lost(job, self.record(task))
 
     # --- operators' changes -------------------------------------------------
 
-    def take(self, entry: InboxEntry) -> None:
+    def apply_change(self, entry: InboxEntry) -> None:
         """Carry out an accepted change; taking one twice changes nothing."""
         match entry:
             case InboxEntry(submit=JobPart() as part):
@@ -262,7 +262,7 @@
             tasks=[TaskRecord(index=index) for index in part.indices],
         )
         self.jobs[part.spec.name] = job
-        self._touch(job)
+        self._mark_dirty(job)
 
     def _cancel(self, name: str) -> None:
         job = self.jobs.get(name)
@@ -274,9 +274,9 @@
             if record.state in (TaskState.PENDING, TaskState.NEVER):
                 record.state = TaskState.CANCELLED
             elif record.state is TaskState.PLACED:
-                self.live[task_id(name, record.index)].stopping = True
+                self.active[task_id(name, record.index)].stopping = True
         self.endpoint_revision += 1
-        self._touch(job)
+        self._mark_dirty(job)
 
     def _relabel(self, change: LabelChange) -> None:
         row = self.worker_rows.setdefault(change.worker, WorkerRow())
@@ -284,22 +284,22 @@
         self._dirty_workers.add(change.worker)
         entry = self.hosts.get(change.worker)
         if entry is not None:
-            self.book.relabel(change.worker, self._labels(entry))
-            self._retry_never()
+            self.inventory.relabel(change.worker, self._labels(entry))
+            self._retry_unplaceable()
 
-    def _retry_never(self) -> None:
+    def _retry_unplaceable(self) -> None:
         """Labels changed: what fitted nowhere may now fit."""
         for job in self.jobs.values():
             for record in job.tasks:
                 if record.state is TaskState.NEVER:
                     record.state = TaskState.PENDING
-                    self._touch(job)
+                    self._mark_dirty(job)
 
     # --- what workers say ---------------------------------------------------
 
     def report(self, worker: str, report: TaskReport) -> None:
         """Take in what a worker says about one attempt."""
-        record = self._find(report.task)
+        record = self._find_record(report.task)
         current = (
             record is not None
             and record.state is TaskState.PLACED
@@ -307,77 +307,77 @@
             and record.attempt == report.attempt
         )
         if record is None or not current:
-            self._report_stray(worker, report)
+            self._report_orphaned_attempt(worker, report)
             return
         job = self.jobs[job_of(report.task)]
         match report.outcome:
             case Outcome.RUNNING:
-                self._runs(worker, report)
+                self._report_running(worker, report)
             case Outcome.DONE:
-                self.book.start_succeeded(worker)
-                self.planner.history.note_run(job.spec.name, report.run_s)
-                self._final(job, record, TaskState.DONE)
-                self._settle_later(worker, report)
+                self.inventory.start_succeeded(worker)
+                self.planner.history.record_run(job.spec.name, report.run_s)
+                self._end_placement(job, record, TaskState.DONE)
+                self._queue_ack(worker, report)
             case Outcome.FAILED:
-                if self.planner.history.blames_worker(job.spec.name, worker):
-                    self.book.start_failed(worker)
-                self._gone(job, record, failed=True)
-                self._settle_later(worker, report)
+                if self.planner.history.record_failed_start(job.spec.name, worker):
+                    self.inventory.start_failed(worker)
+                self._attempt_ended(job, record, failed=True)
+                self._queue_ack(worker, report)
             case Outcome.STOPPED | Outcome.REFUSED:
-                self._gone(job, record, failed=False)
-                self._settle_later(worker, report)
+                self._attempt_ended(job, record, failed=False)
+                self._queue_ack(worker, report)
 
-    def _report_stray(self, worker: str, report: TaskReport) -> None:
+    def _report_orphaned_attempt(self, worker: str, report: TaskReport) -> None:
         """An attempt the table does not place there: stop it, then forget it."""
-        strays = self.strays.setdefault(worker, {})
+        orphaned_attempts = self.orphaned_attempts.setdefault(worker, {})
         if report.outcome is Outcome.RUNNING:
-            strays[report.task] = report.attempt
+            orphaned_attempts[report.task] = report.attempt
             return
-        strays.pop(report.task, None)
-        self._settle_later(worker, report)
+        orphaned_attempts.pop(report.task, None)
+        self._queue_ack(worker, report)
 
-    def _settle_later(self, worker: str, report: TaskReport) -> None:
-        mark = TaskMark(task=report.task, attempt=report.attempt)
-        self.unsettled.setdefault(worker, []).append(mark)
+    def _queue_ack(self, worker: str, report: TaskReport) -> None:
+        mark = AttemptRef(task=report.task, attempt=report.attempt)
+        self.pending_acks.setdefault(worker, []).append(mark)
 
-    def _runs(self, worker: str, report: TaskReport) -> None:
-        live = self.live[report.task]
+    def _report_running(self, worker: str, report: TaskReport) -> None:
+        active = self.active[report.task]
         if report.throttled:
-            live.stopping = False
-            self.book.recount(worker, report.task, throttled(live.needs))
+            active.stopping = False
+            self.inventory.set_needs(worker, report.task, throttled(active.needs))
         else:
-            self.book.report(worker, report.task, live.needs, report.used)
-        self.planner.history.note_use(job_of(report.task), report.used)
-        if not live.running:
-            live.running = True
-            live.since = self.now()
-            live.url = report.url
+            self.inventory.report(worker, report.task, active.needs, report.used)
+        self.planner.history.record_usage(job_of(report.task), report.used)
+        if not active.running:
+            active.running = True
+            active.since = self.now()
+            active.url = report.url
             self.endpoint_revision += 1
 
-    def _lost(self, job: JobRow, record: TaskRecord) -> None:
+    def _attempt_lost(self, job: JobRow, record: TaskRecord) -> None:
         """An attempt was lost with its worker, which it may have crashed.
 
         What had run for a while did not. Others that had just begun beside it are
         lost with it, but not on each of several workers in a row.
         """
-        live = self.live[task_id(job.spec.name, record.index)]
-        settled = live.running and self.now() - live.since >= SETTLED_S
-        record.crashes = 0 if settled else record.crashes + 1
-        if record.crashes >= MOST_CRASHES and not job.cancelled:
-            self._final(job, record, TaskState.FAILED)
+        active = self.active[task_id(job.spec.name, record.index)]
+        stable = active.running and self.now() - active.since >= STABLE_AFTER_S
+        record.crashes = 0 if stable else record.crashes + 1
+        if record.crashes >= MAX_WORKER_CRASHES and not job.cancelled:
+            self._end_placement(job, record, TaskState.FAILED)
             return
-        self._gone(job, record, failed=False)
+        self._attempt_ended(job, record, failed=False)
 
-    def _gone(self, job: JobRow, record: TaskRecord, *, failed: bool) -> None:
+    def _attempt_ended(self, job: JobRow, record: TaskRecord, *, failed: bool) -> None:
         """An attempt is over without being done: try again, or give up."""
         if job.cancelled:
-            self._final(job, record, TaskState.CANCELLED)
+            self._end_placement(job, record, TaskState.CANCELLED)
             return
         record.failures += failed
         if record.failures > job.spec.retries and job.spec.kind is not Kind.SERVICE:
-            self._final(job, record, TaskState.FAILED)
+            self._end_placement(job, record, TaskState.FAILED)
             return
-        self._final(job, record, TaskState.PENDING)
+        self._end_placement(job, record, TaskState.PENDING)
         if job.spec.kind is Kind.GANG:
             self._stop_members(job)
 
@@ -385,45 +385,51 @@
         """One member is lost: the others stop, so that all can start together."""
         for record in job.tasks:
             if record.state is TaskState.PLACED:
-                self.live[task_id(job.spec.name, record.index)].stopping = True
+                self.active[task_id(job.spec.name, record.index)].stopping = True
 
-    def _final(self, job: JobRow, record: TaskRecord, state: TaskState) -> None:
+    def _end_placement(self, job: JobRow, record: TaskRecord, state: TaskState) -> None:
         task = task_id(job.spec.name, record.index)
-        self.book.release(record.worker, task)
-        live = self.live.pop(task, None)
-        if live is not None:
-            self._count_team(job, NOTHING.minus(live.needs))
+        self.inventory.release(record.worker, task)
+        active = self.active.pop(task, None)
+        if active is not None:
+            self._add_team_usage(job, NOTHING.minus(active.needs))
         self.planner.forget(task)
         record.state = state
         record.worker = ""
         self.endpoint_revision += 1
-        self._touch(job)
+        self._mark_dirty(job)
 
     # --- rounds -------------------------------------------------------------
 
     def plan(self, now: float = 0.0) -> Plan:
         """Plan one round and note its placements, not yet durable."""
-        asks = [ask for name in self._open if (ask := self._ask(self.jobs[name]))]
-        racks = {ask.job: self._racks(ask.job) for ask in asks}
-        plan = self.planner.plan(asks, racks, now=now)
-        needs = {ask.job: ask.needs for ask in asks}
+        requests = [
+            request
+            for name in self._jobs_with_pending
+            if (request := self._placement_request(self.jobs[name]))
+        ]
+        racks = {request.job: self._tasks_per_rack(request.job) for request in requests}
+        plan = self.planner.plan(requests, racks, now=now)
+        needs = {request.job: request.needs for request in requests}
         for assignment in plan.assignments:
             counted = needs[job_of(assignment.task)]
-            self._placed(assignment.task, assignment.worker, counted)
+            self._record_placement(assignment.task, assignment.worker, counted)
         for preemption in plan.preemptions:
-            live = self.live[preemption.task]
-            live.stopping, live.how = True, preemption.how
-        for refusal in plan.refusals:
-            self._refused(self.jobs[refusal.job], refusal.never, refusal.reasons)
+            active = self.active[preemption.task]
+            active.stopping, active.how = True, preemption.how
+        for unplaced_job in plan.unplaced:
+            self._record_unplaced(
+                self.jobs[unplaced_job.job], unplaced_job.never, unplaced_job.reasons
+            )
         return plan
 
-    def _ask(self, job: JobRow) -> Ask | None:
+    def _placement_request(self, job: JobRow) -> PlacementRequest | None:
         waiting = [each for each in job.tasks if each.state is TaskState.PENDING]
         placed = any(each.state is TaskState.PLACED for each in job.tasks)
         if not waiting or (job.spec.kind is Kind.GANG and placed):
             return None
         spec, history = job.spec, self.planner.history
-        return Ask(
+        return PlacementRequest(
             job=spec.name,
             kind=spec.kind,
             team=spec.team,
@@ -440,38 +446,41 @@
         declared = job.spec.needs
         learned = self.planner.history.needs(job.spec.name, declared)
         fits = any(
-            learned.fits_in(worker.capacity) for worker in self.book.workers.values()
+            learned.fits_in(worker.capacity)
+            for worker in self.inventory.workers.values()
         )
         return learned if fits else declared
 
-    def _racks(self, name: str) -> dict[str, int]:
+    def _tasks_per_rack(self, name: str) -> dict[str, int]:
         counts: dict[str, int] = {}
         for record in self.jobs[name].tasks:
             if record.state is TaskState.PLACED:
-                rack = self.book.workers[record.worker].rack
+                rack = self.inventory.workers[record.worker].rack
                 counts[rack] = counts.get(rack, 0) + 1
         return counts
 
-    def _placed(self, task: str, worker: str, needs: Amounts) -> None:
+    def _record_placement(self, task: str, worker: str, needs: Amounts) -> None:
         job = self.jobs[job_of(task)]
         record = self.record(task)
         record.state = TaskState.PLACED
         record.worker = worker
         record.attempt += 1
-        self.live[task] = LiveTask(needs=needs)
+        self.active[task] = ActiveTask(needs=needs)
         job.reasons.clear()
-        self._touch(job)
+        self._mark_dirty(job)
 
-    def _refused(self, job: JobRow, never: bool, reasons: tuple[str, ...]) -> None:
+    def _record_unplaced(
+        self, job: JobRow, never: bool, reasons: tuple[str, ...]
+    ) -> None:
         if job.reasons != list(reasons):
             job.reasons[:] = reasons
-            self._touch(job)
+            self._mark_dirty(job)
         if not never:
             return
         for record in job.tasks:
             if record.state is TaskState.PENDING:
                 record.state = TaskState.NEVER
-                self._touch(job)
+                self._mark_dirty(job)
 
     # --- writing and ordering -----------------------------------------------
 
@@ -492,38 +501,38 @@
     def confirm(self, plan: Plan) -> frozenset[str]:
         """Note that a plan is durable; return the workers with orders."""
         for assignment in plan.assignments:
-            live = self.live.get(assignment.task)
-            if live is not None:
-                live.durable = True
+            active = self.active.get(assignment.task)
+            if active is not None:
+                active.durable = True
         return frozenset(each.worker for each in plan.assignments)
 
-    def unreported(self, worker: str, reports: Iterable[TaskReport]) -> None:
+    def drop_unreported(self, worker: str, reports: Iterable[TaskReport]) -> None:
         """A worker's full list leaves out what the table places there: it is gone."""
         listed = {(each.task, each.attempt) for each in reports}
-        for task in list(self.book.workers[worker].tasks):
+        for task in list(self.inventory.workers[worker].tasks):
             record = self.record(task)
-            if self.live[task].durable and (task, record.attempt) not in listed:
-                self._lost(self.jobs[job_of(task)], record)
+            if self.active[task].durable and (task, record.attempt) not in listed:
+                self._attempt_lost(self.jobs[job_of(task)], record)
 
-    def take_unsettled(self) -> dict[str, list[TaskMark]]:
+    def take_pending_acks(self) -> dict[str, list[AttemptRef]]:
         """Return outcomes taken in since the last call, by worker."""
-        marks, self.unsettled = self.unsettled, {}
+        marks, self.pending_acks = self.pending_acks, {}
         return marks
 
     # --- small helpers ------------------------------------------------------
 
-    def _touch(self, job: JobRow) -> None:
+    def _mark_dirty(self, job: JobRow) -> None:
         self._dirty.add(job.spec.name)
-        self._note_open(job)
+        self._update_pending(job)
 
-    def _note_open(self, job: JobRow) -> None:
-        self._touched.add(job.spec.name)
+    def _update_pending(self, job: JobRow) -> None:
+        self._changed_jobs.add(job.spec.name)
         if any(each.state is TaskState.PENDING for each in job.tasks):
-            self._open.add(job.spec.name)
+            self._jobs_with_pending.add(job.spec.name)
         else:
-            self._open.discard(job.spec.name)
+            self._jobs_with_pending.discard(job.spec.name)
 
-    def _find(self, task: str) -> TaskRecord | None:
+    def _find_record(self, task: str) -> TaskRecord | None:
         job = self.jobs.get(job_of(task))
         if job is None:
             return None
@@ -532,23 +541,23 @@
 
     def record(self, task: str) -> TaskRecord:
         """Return the record of a task that the shard has."""
-        record = self._find(task)
+        record = self._find_record(task)
         assert record is not None, task
         return record
 
-    def _count_team(self, job: JobRow, needs: Amounts) -> None:
-        team = self.planner.teams.setdefault(job.spec.team, TeamUse())
+    def _add_team_usage(self, job: JobRow, needs: Amounts) -> None:
+        team = self.planner.teams.setdefault(job.spec.team, TeamUsage())
         team.used = team.used.plus(needs)
 
-    def note_finished(self, now: float) -> None:
+    def record_finished(self, now: float) -> None:
         """Note when the jobs that have ended were first seen to have."""
-        for name in self._touched:
+        for name in self._changed_jobs:
             job = self.jobs.get(name)
             if job and all(each.state in FINAL_STATES for each in job.tasks):
                 self._ended_at.setdefault(name, now)
-        self._touched.clear()
+        self._changed_jobs.clear()
 
-    def forget_finished(self, before: float) -> tuple[str, ...]:
+    def remove_finished(self, before: float) -> tuple[str, ...]:
         """Forget jobs that ended before a time; return their rows' keys."""
         old = [name for name, at in self._ended_at.items() if at < before]
         for name in old:
--- a/cranberrycleat/slots.py
+++ b/cranberrycleat/slots.py
@@ -12,11 +12,13 @@
 
 import attrs
 
-LOWEST: Final = 1
+MIN_ALLOWED: Final = 1
 """A gateway may always try one request, or it would never learn of room."""
 
 
-def share_of(*, slots: int, members: tuple[str, ...], me: str, endpoint: str) -> int:
+def slot_share(
+    *, slots: int, members: tuple[str, ...], gateway_name: str, endpoint: str
+) -> int:
     """Return this gateway's share of an endpoint's slots.
 
     Args:
@@ -26,12 +28,12 @@
         endpoint: The endpoint, which decides who gets a slot that is left over.
     """
     whole, left = divmod(slots, len(members))
-    ranked = sorted(members, key=lambda name: _weight(endpoint, name))
-    extra = 1 if ranked.index(me) < left else 0
-    return max(LOWEST, whole + extra)
+    ranked = sorted(members, key=lambda name: _rendezvous_hash(endpoint, name))
+    extra = 1 if ranked.index(gateway_name) < left else 0
+    return max(MIN_ALLOWED, whole + extra)
 
 
-def _weight(endpoint: str, member: str) -> bytes:
+def _rendezvous_hash(endpoint: str, member: str) -> bytes:
     """Rendezvous hashing: each endpoint ranks the gateways in its own order."""
     return hashlib.blake2b(f"{endpoint} {member}".encode(), digest_size=8).digest()
 
@@ -69,4 +71,4 @@
 
     def refused(self) -> None:
         """Note a refusal for want of a slot: allow one less."""
-        self.allowed = max(float(LOWEST), self.allowed - 1)
+        self.allowed = max(float(MIN_ALLOWED), self.allowed - 1)
--- a/cranberrycleat/standins/feed_table.py
+++ b/cranberrycleat/standins/feed_table.py
@@ -7,9 +7,9 @@
 
 from cranberrycleat.standins.table import MemoryTable
 from cranberrycleat.table import CommitReply, Row, Transaction
-from cranberrycleat.workflow.ports import Feed, HistoryGone, Snapshot, TableChange
+from cranberrycleat.workflow.ports import Feed, HistoryExpired, Snapshot, TableChange
 
-STEP_S: Final = 0.005
+POLL_S: Final = 0.005
 
 
 @attrs.define(kw_only=True)
@@ -46,14 +46,14 @@
         return Snapshot(rows=rows, version=self.revision)
 
     async def follow(
-        self, *, table: str, after: int, wait_s: float, most_bytes: int | None = None
+        self, *, table: str, after: int, wait_s: float, max_bytes: int | None = None
     ) -> Feed:
         """Return the changes after a version; wait for one if there is none."""
-        await self._meet_faults()
+        await self._apply_faults()
         left_s = wait_s
         while True:
             if after < self.kept_from:
-                raise HistoryGone(table)
+                raise HistoryExpired(table)
             found = [
                 change
                 for version, change in self.history
@@ -61,5 +61,5 @@
             ]
             if found or left_s <= 0:
                 return Feed(changes=tuple(found), version=self.revision)
-            await asyncio.sleep(STEP_S)
-            left_s -= STEP_S
+            await asyncio.sleep(POLL_S)
+            left_s -= POLL_S
--- a/cranberrycleat/standins/fleet.py
+++ b/cranberrycleat/standins/fleet.py
@@ -11,7 +11,7 @@
 import attrs
 
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.clock import Clock, DayClock, MonotonicClock
+from cranberrycleat.clock import Clock, MonotonicClock, WallClock
 from cranberrycleat.workflow.ports import (
     EndedTask,
     EndKind,
@@ -25,11 +25,11 @@
     WorkerUnreachable,
 )
 
-STEP_S: Final = 0.005
+POLL_S: Final = 0.005
 
 
 @attrs.frozen(kw_only=True)
-class Work:
+class SimulatedWork:
     """How an attempt of a task goes: for how long, and how it ends.
 
     Attributes:
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Started:
+class StartRecord:
     """The record of one start."""
 
     at: float
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WorkerRecord:
+class WorkerEvent:
     """One thing that happened on a worker.
 
     Attributes:
@@ -92,7 +92,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Worker:
+class SimulatedWorker:
     """One life of a worker.
 
     Attributes:
@@ -113,10 +113,10 @@
     silent: bool = False
     down: bool = False
     replaced: bool = False
-    lose_starts: int = 0
+    unanswered_starts: int = 0
     refuse: Verdict | None = None
-    stands_still: bool = False
-    settled_at: float = 0.0
+    stalled: bool = False
+    last_advance_at: float = 0.0
     fence: int = 0
     lease_end_ms: int = 0
     runs: dict[str, Run] = attrs.field(factory=dict)
@@ -124,10 +124,10 @@
     last_end: int = 0
     void: dict[str, int] = attrs.field(factory=dict)
     late: list[StartOrder] = attrs.field(factory=list)
-    was_asked: bool = False
+    has_answered_sync: bool = False
     starts_sent: int = 0
-    clock_began: float = 0.0
-    over: bool = False
+    clock_started_at: float = 0.0
+    terminated: bool = False
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -162,37 +162,37 @@
         recorded: Told of each order, list, end and life, and of each fault.
     """
 
-    work: Callable[[str, int], Work] = lambda task, attempt: Work()
+    work: Callable[[str, int], SimulatedWork] = lambda task, attempt: SimulatedWork()
     needs: Callable[[str], Amounts] = lambda task: NOTHING
     gang: Callable[[str], bool] = lambda step: False
     workspace: Callable[[str], str] = lambda task: ""
     over_quota: Callable[[str, list[Amounts]], str] = lambda workspace, running: ""
     clock: Clock = attrs.field(factory=MonotonicClock)
-    workers: dict[str, Worker] = attrs.field(factory=dict)
-    lost: dict[str, Worker] = attrs.field(factory=dict)
-    starts: list[Started] = attrs.field(factory=list)
+    workers: dict[str, SimulatedWorker] = attrs.field(factory=dict)
+    lost: dict[str, SimulatedWorker] = attrs.field(factory=dict)
+    starts: list[StartRecord] = attrs.field(factory=list)
     faults: list[str] = attrs.field(factory=list)
-    before_first_list: list[str] = attrs.field(factory=list)
-    falls: dict[str, list[float]] = attrs.field(factory=dict)
+    late_copies: list[str] = attrs.field(factory=list)
+    worker_failures: dict[str, list[float]] = attrs.field(factory=dict)
     done: set[str] = attrs.field(factory=set)
-    excused: set[str] = attrs.field(factory=set)
-    counts_done: bool = True
-    down_s: float = 0.1
+    rerun_allowed: set[str] = attrs.field(factory=set)
+    forbids_reruns: bool = True
+    restart_delay_s: float = 0.1
     keeps_identity: bool = False
     longest_lease_s: float = 10.0
-    came_back: Callable[[WorkerEntry, str], None] = lambda entry, before: None
-    tells_progress: bool = False
-    recorded: Callable[[WorkerRecord], None] = lambda record: None
+    on_restart: Callable[[WorkerEntry, str], None] = lambda entry, before: None
+    reports_progress: bool = False
+    on_event: Callable[[WorkerEvent], None] = lambda record: None
 
-    def _record(
+    def _record_event(
         self,
-        worker: Worker,
+        worker: SimulatedWorker,
         what: str,
         task: str = "",
         attempt: int = 0,
         detail: str = "",
     ) -> None:
-        record = WorkerRecord(
+        record = WorkerEvent(
             at=self.clock.now(),
             worker=worker.entry.worker,
             born_ms=worker.entry.born_ms,
@@ -201,21 +201,23 @@
             attempt=attempt,
             detail=detail,
         )
-        self.recorded(record)
+        self.on_event(record)
 
-    def _note_fault(self, worker: Worker, order: StartOrder, fault: str) -> None:
+    def _add_fault(
+        self, worker: SimulatedWorker, order: StartOrder, fault: str
+    ) -> None:
         self.faults.append(fault)
-        self._record(worker, "fault", order.task, order.attempt, fault)
+        self._record_event(worker, "fault", order.task, order.attempt, fault)
 
-    def add(self, entry: WorkerEntry) -> Worker:
+    def add(self, entry: WorkerEntry) -> SimulatedWorker:
         """Take in a worker."""
-        worker = self.workers[entry.worker] = Worker(entry=entry)
-        self._record(worker, "life begins")
+        worker = self.workers[entry.worker] = SimulatedWorker(entry=entry)
+        self._record_event(worker, "life begins")
         return worker
 
-    def now_ms(self, worker: Worker) -> int:
+    def now_ms(self, worker: SimulatedWorker) -> int:
         """Return a worker's clock in milliseconds."""
-        return round((self.clock.now() - worker.clock_began) * 1000)
+        return round((self.clock.now() - worker.clock_started_at) * 1000)
 
     # --- the interface ------------------------------------------------------------
 
@@ -225,32 +227,32 @@
         """Carry out a start, or lose it and wait for the limit."""
         if entry.worker in self.workers:
             self.workers[entry.worker].starts_sent += 1
-        worker = self._reach(entry)
-        if worker.lose_starts > 0:
-            worker.lose_starts -= 1
+        worker = self._reachable(entry)
+        if worker.unanswered_starts > 0:
+            worker.unanswered_starts -= 1
             worker.late.append(order)
-            self._record(worker, "start kept back", order.task, order.attempt)
+            self._record_event(worker, "start kept back", order.task, order.attempt)
             await asyncio.sleep(limit_s)
             raise WorkerUnreachable("the order's answer was lost")
         return self.carry_out(worker, order)
 
-    def carry_out(self, worker: Worker, order: StartOrder) -> OrderReply:
+    def carry_out(self, worker: SimulatedWorker, order: StartOrder) -> OrderReply:
         """Do what a start order says, as a worker does."""
         now = self.now_ms(worker)
         verdict = self._verdict(worker, order, now)
         detail = f"{verdict.value}, fence {order.fence}"
-        self._record(worker, "start", order.task, order.attempt, detail)
+        self._record_event(worker, "start", order.task, order.attempt, detail)
         if verdict is Verdict.ACCEPTED and order.task not in worker.runs:
             self._begin(worker, order)
         if verdict is not Verdict.STALE_EPOCH:
             self._renew(worker, order.lease_end_ms)
         return OrderReply(verdict=verdict, worker_time_ms=now)
 
-    def _renew(self, worker: Worker, lease_end_ms: int) -> None:
+    def _renew(self, worker: SimulatedWorker, lease_end_ms: int) -> None:
         longest = self.now_ms(worker) + round(self.longest_lease_s * 1000)
         worker.lease_end_ms = max(worker.lease_end_ms, min(lease_end_ms, longest))
 
-    def _verdict(self, worker: Worker, order: StartOrder, now: int) -> Verdict:
+    def _verdict(self, worker: SimulatedWorker, order: StartOrder, now: int) -> Verdict:
         if order.fence < worker.fence:
             return Verdict.STALE_EPOCH
         worker.fence = order.fence
@@ -260,7 +262,7 @@
             return Verdict.TOO_LATE
         return worker.refuse or Verdict.ACCEPTED
 
-    def _begin(self, worker: Worker, order: StartOrder) -> None:
+    def _begin(self, worker: SimulatedWorker, order: StartOrder) -> None:
         now = self.clock.now()
         work = self.work(order.task, order.attempt)
         run = Run(
@@ -273,19 +275,21 @@
             needs=self.needs(order.task),
         )
         for other in self.workers.values():
-            self._settle(other)
+            self._advance(other)
             if order.task in other.runs:
-                self._note_fault(worker, order, f"{order.task} runs twice")
-        if order.task in self.done - self.excused:
+                self._add_fault(worker, order, f"{order.task} runs twice")
+        if order.task in self.done - self.rerun_allowed:
             fault = f"{order.task} starts after it was done"
-            if worker.was_asked:
-                self._note_fault(worker, order, fault)
+            if worker.has_answered_sync:
+                self._add_fault(worker, order, fault)
             else:
-                self.before_first_list.append(fault)
-                self._record(worker, "late copy", order.task, order.attempt, fault)
+                self.late_copies.append(fault)
+                self._record_event(
+                    worker, "late copy", order.task, order.attempt, fault
+                )
         worker.runs[order.task] = run
         self.starts.append(
-            Started(
+            StartRecord(
                 at=now,
                 worker=worker.entry.worker,
                 task=order.task,
@@ -296,16 +300,16 @@
         )
         if work.crashes_after_s is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(work.crashes_after_s, self.go_down, worker)
-        self._judge_quota(worker, order)
+            loop.call_later(work.crashes_after_s, self.crash_and_restart, worker)
+        self._check_quota(worker, order)
         used = NOTHING
         for each in worker.runs.values():
             used = used.plus(each.needs)
         if not used.fits_in(worker.entry.capacity):
             fault = f"{worker.entry.worker} is over its capacity"
-            self._note_fault(worker, order, fault)
+            self._add_fault(worker, order, fault)
 
-    def _judge_quota(self, at: Worker, order: StartOrder) -> None:
+    def _check_quota(self, at: SimulatedWorker, order: StartOrder) -> None:
         workspace = self.workspace(order.task)
         if not workspace:
             return
@@ -317,19 +321,19 @@
         ]
         fault = self.over_quota(workspace, running)
         if fault:
-            self._note_fault(at, order, fault)
+            self._add_fault(at, order, fault)
 
     async def stop(
         self, entry: WorkerEntry, task: str, attempt: int, fence: int
     ) -> OrderReply:
         """Stop an attempt, or make one void that has not come yet."""
-        worker = self._reach(entry)
+        worker = self._reachable(entry)
         if fence < worker.fence:
             return OrderReply(
                 verdict=Verdict.STALE_EPOCH, worker_time_ms=self.now_ms(worker)
             )
         worker.fence = fence
-        self._record(worker, "stop", task, attempt, f"fence {fence}")
+        self._record_event(worker, "stop", task, attempt, f"fence {fence}")
         worker.void[task] = max(worker.void.get(task, 0), attempt)
         run = worker.runs.get(task)
         if run is not None and run.attempt <= attempt:
@@ -340,7 +344,7 @@
         self, entry: WorkerEntry, task: str, attempt: int, percent: int, fence: int
     ) -> OrderReply:
         """Take note of nothing: these tasks disturb nobody."""
-        worker = self._reach(entry)
+        worker = self._reachable(entry)
         return OrderReply(verdict=Verdict.ACCEPTED, worker_time_ms=self.now_ms(worker))
 
     async def sync(
@@ -353,25 +357,25 @@
         wait_ms: int,
     ) -> SyncReply | OrderReply:
         """Renew the lease and return both lists, waiting for an end."""
-        worker = self._reach(entry)
+        worker = self._reachable(entry)
         if fence < worker.fence:
             return OrderReply(
                 verdict=Verdict.STALE_EPOCH, worker_time_ms=self.now_ms(worker)
             )
         worker.fence = fence
-        worker.was_asked = True
+        worker.has_answered_sync = True
         if worker.entry.born_ms == entry.born_ms:
             worker.ended = [end for end in worker.ended if end.number > ended_upto]
         if lease_end_ms is not None:
             self._renew(worker, lease_end_ms)
         until = self.now_ms(worker) + wait_ms
-        self._settle(worker)
+        self._advance(worker)
         while not worker.ended and self.now_ms(worker) < until:
-            await asyncio.sleep(STEP_S)
-            self._reach(entry)
-            if worker.over:
+            await asyncio.sleep(POLL_S)
+            self._reachable(entry)
+            if worker.terminated:
                 raise WorkerUnreachable("the connection was reset")
-            self._settle(worker)
+            self._advance(worker)
         running = tuple(
             RunningTask(
                 task=run.task,
@@ -381,9 +385,9 @@
             )
             for run in worker.runs.values()
         )
-        lists = f"running {_named(running)}, ended {_named(worker.ended)}"
+        lists = f"running {_attempt_keys(running)}, ended {_attempt_keys(worker.ended)}"
         asked = f"fence {fence}, acknowledged {ended_upto}"
-        self._record(worker, "list", detail=f"{asked}: {lists}")
+        self._record_event(worker, "list", detail=f"{asked}: {lists}")
         return SyncReply(
             worker_time_ms=self.now_ms(worker),
             running=running,
@@ -394,107 +398,109 @@
     async def release(self, entry: WorkerEntry) -> None:
         """Nothing is kept open."""
 
-    def crash(self, name: str, entry: WorkerEntry) -> None:
+    def replace_worker(self, name: str, entry: WorkerEntry) -> None:
         """Lose a worker's life and all that runs there; another life begins."""
-        lost = self._end_life(name)
+        lost = self._end_incarnation(name)
         lost.replaced = True
         # Orders on their way to a life that is over are never carried out.
         lost.late.clear()
         self.lost[name] = lost
         self.add(entry)
 
-    def restart(self, name: str) -> Worker:
+    def restart(self, name: str) -> SimulatedWorker:
         """Lose a worker's life; the next begins under the same identity.
 
         It holds and knows nothing, and counts anew. Orders on their way reach it.
         """
-        before = self._end_life(name)
-        born_ms = max(before.entry.born_ms + 1, round(DayClock().now_s() * 1000))
+        before = self._end_incarnation(name)
+        born_ms = max(before.entry.born_ms + 1, round(WallClock().now_s() * 1000))
         after = self.add(attrs.evolve(before.entry, born_ms=born_ms))
-        after.clock_began = self.clock.now()
+        after.clock_started_at = self.clock.now()
         after.late = before.late
         after.silent = before.silent
         return after
 
-    def _end_life(self, name: str) -> Worker:
+    def _end_incarnation(self, name: str) -> SimulatedWorker:
         lost = self.workers.pop(name)
-        self._record(lost, "life is over")
+        self._record_event(lost, "life is over")
         if not lost.down:
-            self._note_fall(name)
+            self._record_worker_failure(name)
         lost.down = False
-        self._settle(lost)
-        self._excuse(lost)
-        lost.over = True
+        self._advance(lost)
+        self._allow_reruns(lost)
+        lost.terminated = True
         lost.runs.clear()
         return lost
 
-    def _note_fall(self, name: str) -> None:
-        self.falls.setdefault(name, []).append(self.clock.now())
+    def _record_worker_failure(self, name: str) -> None:
+        self.worker_failures.setdefault(name, []).append(self.clock.now())
 
-    def go_down(self, worker: Worker) -> None:
+    def crash_and_restart(self, worker: SimulatedWorker) -> None:
         """Crash a worker; after a while another life begins at its address."""
         name = worker.entry.worker
         if self.workers.get(name) is not worker or worker.down:
             return
-        self._settle(worker)
-        self._record(worker, "crashes")
-        self._note_fall(name)
+        self._advance(worker)
+        self._record_event(worker, "crashes")
+        self._record_worker_failure(name)
         worker.down = True
         worker.runs.clear()
-        asyncio.get_running_loop().call_later(self.down_s, self._come_back, worker)
+        asyncio.get_running_loop().call_later(
+            self.restart_delay_s, self._restart_after_crash, worker
+        )
 
-    def _come_back(self, worker: Worker) -> None:
+    def _restart_after_crash(self, worker: SimulatedWorker) -> None:
         name = worker.entry.worker
         if self.workers.get(name) is not worker:
             return
         if self.keeps_identity:
-            self.came_back(self.restart(name).entry, name)
+            self.on_restart(self.restart(name).entry, name)
             return
-        base, _, life = name.partition("+")
-        entry = attrs.evolve(worker.entry, worker=f"{base}+{int(life or 0) + 1}")
-        self.crash(name, entry)
-        self.came_back(entry, name)
+        base, _, restarts = name.partition("+")
+        entry = attrs.evolve(worker.entry, worker=f"{base}+{int(restarts or 0) + 1}")
+        self.replace_worker(name, entry)
+        self.on_restart(entry, name)
 
     # --- what goes on by itself -----------------------------------------------------
 
-    def settle_all(self) -> None:
+    def advance_all(self) -> None:
         """Let every attempt that is over end."""
         for worker in self.workers.values():
-            self._settle(worker)
+            self._advance(worker)
 
-    def _settle(self, worker: Worker) -> None:
+    def _advance(self, worker: SimulatedWorker) -> None:
         now = self.clock.now()
-        if worker.stands_still:
+        if worker.stalled:
             for run in worker.runs.values():
-                run.started += now - worker.settled_at
-                run.ends_at += now - worker.settled_at
-        worker.settled_at = now
+                run.started += now - worker.last_advance_at
+                run.ends_at += now - worker.last_advance_at
+        worker.last_advance_at = now
         lapsed = self.now_ms(worker) > worker.lease_end_ms
         for run in list(worker.runs.values()):
             if worker.runs.get(run.task) is not run:
                 # It ended with another member of its gang.
                 continue
-            ends_at_ms = (run.ends_at - worker.clock_began) * 1000
+            ends_at_ms = (run.ends_at - worker.clock_started_at) * 1000
             if run.ends_at <= now and ends_at_ms <= worker.lease_end_ms:
                 self._end(worker, run, run.how)
             elif lapsed:
                 self._end(worker, run, EndKind.LAPSED)
         if lapsed:
-            self._excuse(worker)
+            self._allow_reruns(worker)
 
-    def _excuse(self, worker: Worker) -> None:
+    def _allow_reruns(self, worker: SimulatedWorker) -> None:
         for end in worker.ended:
             if end.how is EndKind.DONE:
-                self.excused.add(end.task)
+                self.rerun_allowed.add(end.task)
 
     def _percent(self, run: Run) -> int:
         """Return how far a run has come."""
-        if not self.tells_progress:
+        if not self.reports_progress:
             return 100
         share = (self.clock.now() - run.started) / (run.ends_at - run.started)
         return min(99, int(100 * share))
 
-    def _end(self, worker: Worker, run: Run, how: EndKind) -> None:
+    def _end(self, worker: SimulatedWorker, run: Run, how: EndKind) -> None:
         self._end_one(worker, run, how)
         step = run.task.rpartition(".")[0]
         if not self.gang(step):
@@ -506,13 +512,13 @@
                 if member and each.attempt == run.attempt:
                     self._end_one(other, each, rest)
 
-    def _end_one(self, worker: Worker, run: Run, how: EndKind) -> None:
+    def _end_one(self, worker: SimulatedWorker, run: Run, how: EndKind) -> None:
         del worker.runs[run.task]
         worker.void[run.task] = max(worker.void.get(run.task, 0), run.attempt)
         worker.last_end += 1
         detail = f"{how.value}, number {worker.last_end}"
-        self._record(worker, "end", run.task, run.attempt, detail)
-        if how is EndKind.DONE and self.counts_done:
+        self._record_event(worker, "end", run.task, run.attempt, detail)
+        if how is EndKind.DONE and self.forbids_reruns:
             self.done.add(run.task)
         worker.ended.append(
             EndedTask(
@@ -524,7 +530,7 @@
             )
         )
 
-    def _reach(self, entry: WorkerEntry) -> Worker:
+    def _reachable(self, entry: WorkerEntry) -> SimulatedWorker:
         worker = self.lost.get(entry.worker) or self.workers[entry.worker]
         if worker.silent or worker.down:
             raise WorkerUnreachable("no answer")
@@ -533,5 +539,5 @@
         return worker
 
 
-def _named(listed: Iterable[RunningTask | EndedTask]) -> str:
+def _attempt_keys(listed: Iterable[RunningTask | EndedTask]) -> str:
     return " ".join(f"{each.task}#{each.attempt}" for each in listed) or "nothing"
--- a/cranberrycleat/standins/platform.py
+++ b/cranberrycleat/standins/platform.py
@@ -71,15 +71,15 @@
         assert self.server is not None
         return self.server.url
 
-    async def _list_check(self) -> None:
+    async def _check_available(self) -> None:
         if self.table.faults.down:
             raise errors.TableUnavailable("down")
 
     def _handlers(self) -> list[Any]:
         metrics = Metrics(role="platform", name="standin")
-        metrics.watch("rows", lambda: float(len(self.table.rows)))
-        metrics.watch("reads", lambda: float(self.table.counts.reads))
-        metrics.watch("writes", lambda: float(self.table.counts.writes))
+        metrics.add_gauge("rows", lambda: float(len(self.table.rows)))
+        metrics.add_gauge("reads", lambda: float(self.table.counts.reads))
+        metrics.add_gauge("writes", lambda: float(self.table.counts.writes))
         shown = state_handlers(metrics, self.dump)
         return [*self._table_handlers(), *self._other_handlers(), *shown]
 
@@ -129,7 +129,7 @@
     def _other_handlers(self) -> list[Any]:
         @get("/v1/hosts")
         async def hosts() -> Response[bytes]:
-            await self._list_check()
+            await self._check_available()
             return json_response(HostList(hosts=tuple(self.listed.values())))
 
         @put("/v1/hosts")
@@ -149,13 +149,13 @@
         async def put_object(
             name: FromPath[str], request: AnyRequest
         ) -> Response[bytes]:
-            await self._list_check()
+            await self._check_available()
             self.objects[name] = await request.body()
             return json_response(None)
 
         @get("/v1/objects/{name:path}")
         async def get_object(name: FromPath[str]) -> Response[bytes]:
-            await self._list_check()
+            await self._check_available()
             if name not in self.objects:
                 raise errors.ProblemError(
                     status=404, code=errors.UNKNOWN_NAME, kind="object", name=name
