--- a/cranberrycleat/standins/service.py
+++ b/cranberrycleat/standins/service.py
@@ -30,16 +30,16 @@
     method: str
 
 
-class Host(Protocol):
+class HostingWorker(Protocol):
     """What a service needs to know of the worker it runs on."""
 
     def is_leaving(self) -> bool:
         """Tell whether the worker is leaving."""
 
-    def note_request(self, log: RequestLog) -> None:
+    def record_request(self, log: RequestLog) -> None:
         """Record that a request has begun to run."""
 
-    def note_refusal(self) -> None:
+    def record_refusal(self) -> None:
         """Record that a request met no free slot."""
 
 
@@ -61,10 +61,12 @@
     slots: int = SLOTS
     in_flight: int = 0
 
-    async def answer(self, scope: Any, receive: Any, send: Any, host: Host) -> None:
+    async def answer(
+        self, scope: Any, receive: Any, send: Any, host: HostingWorker
+    ) -> None:
         """Answer one request, or refuse it where every slot is taken."""
         if self.in_flight >= self.slots:
-            host.note_refusal()
+            host.record_refusal()
             await self.refuse(send, reason="every slot is taken", leaving=False)
             return
         headers = dict(scope["headers"])
@@ -74,14 +76,16 @@
             id=headers.get(b"x-request-id", b"").decode(),
             method=scope["method"],
         )
-        host.note_request(log)
+        host.record_request(log)
         self.in_flight += 1
         try:
             await self._run(scope, receive, send, host)
         finally:
             self.in_flight -= 1
 
-    async def _run(self, scope: Any, receive: Any, send: Any, host: Host) -> None:
+    async def _run(
+        self, scope: Any, receive: Any, send: Any, host: HostingWorker
+    ) -> None:
         query = dict(parse_qsl(scope["query_string"].decode(), keep_blank_values=True))
         body = await _read_body(receive)
         took_ms = float(query.get("ms", self.program.answer_ms))
--- a/cranberrycleat/standins/table.py
+++ b/cranberrycleat/standins/table.py
@@ -47,20 +47,20 @@
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
         """Return the rows that exist among the keys."""
-        await self._meet_faults()
+        await self._apply_faults()
         self.counts.reads += 1
         return tuple(self.rows[key] for key in keys if key in self.rows)
 
     async def scan(self, *, prefix: str) -> tuple[Row, ...]:
         """Return every row whose key starts with the prefix."""
-        await self._meet_faults()
+        await self._apply_faults()
         self.counts.reads += 1
         found = [row for key, row in self.rows.items() if key.startswith(prefix)]
         return tuple(sorted(found, key=lambda row: row.key))
 
     async def commit(self, txn: Transaction) -> CommitReply:
         """Apply the transaction, then meet the lost-reply fault if it is on."""
-        await self._meet_faults()
+        await self._apply_faults()
         reply = self.apply(txn)
         if self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
@@ -92,7 +92,7 @@
         row = self.rows.get(key)
         return ABSENT if row is None else row.version
 
-    async def _meet_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
         if self.faults.down:
--- a/cranberrycleat/standins/worker.py
+++ b/cranberrycleat/standins/worker.py
@@ -18,8 +18,9 @@
 from cranberrycleat.clock import Clock, MonotonicClock
 from cranberrycleat.http_calls import call, make_client
 from cranberrycleat.http_server import HttpServer
-from cranberrycleat.jobs import Yield
+from cranberrycleat.jobs import PreemptionMode
 from cranberrycleat.messages import (
+    AttemptRef,
     HostEntry,
     HostState,
     Outcome,
@@ -28,7 +29,6 @@
     StopOrder,
     SyncOrder,
     SyncReply,
-    TaskMark,
     TaskReport,
 )
 from cranberrycleat.metrics import Metrics
@@ -91,7 +91,7 @@
 
     order: StartOrder
     started: float
-    lease_until: float
+    lease_ends_at: float
     revision: int
     outcome: Outcome = Outcome.RUNNING
     reason: str = ""
@@ -165,7 +165,7 @@
             self._ticker.cancel()
         for running in self.tasks.values():
             if running.outcome is Outcome.RUNNING:
-                self._note(running.order, "crashed")
+                self._log_event(running.order, "crashed")
         self.tasks.clear()
         if self.server is not None:
             await self.server.kill()
@@ -181,11 +181,11 @@
         for running in list(self.tasks.values()):
             if running.outcome is not Outcome.RUNNING:
                 continue
-            if now >= running.lease_until:
+            if now >= running.lease_ends_at:
                 # It has done nothing since its lease ran out, however late
                 # this process, which may have been paused, gets to note it.
                 self._end(
-                    running, Outcome.STOPPED, "lease ran out", at=running.lease_until
+                    running, Outcome.STOPPED, "lease ran out", at=running.lease_ends_at
                 )
             elif self._finished(running, now):
                 failed = running.order.program.fails
@@ -210,9 +210,11 @@
         running.ended = self.clock.now() if at is None else at
         self.revision += 1
         running.revision = self.revision
-        self._note(running.order, outcome.value, running.ended)
+        self._log_event(running.order, outcome.value, running.ended)
 
-    def _note(self, order: StartOrder, event: str, at: float | None = None) -> None:
+    def _log_event(
+        self, order: StartOrder, event: str, at: float | None = None
+    ) -> None:
         line = RecordLine(
             at=self.clock.now() if at is None else at,
             task=order.task,
@@ -221,7 +223,7 @@
         )
         self.lines.append(line)
 
-    def obey(self, order: SyncOrder) -> SyncReply:
+    def apply_orders(self, order: SyncOrder) -> SyncReply:
         """Carry out an owner's orders.
 
         Raises:
@@ -237,11 +239,11 @@
             )
         self.epoch = order.epoch
         if order.incarnation:
-            self._check_bound(order)
+            self._check_deadline(order)
             self._carry_out(order)
         return self._reply(order.since if order.incarnation else 0)
 
-    def _check_bound(self, order: SyncOrder) -> None:
+    def _check_deadline(self, order: SyncOrder) -> None:
         late = self.clock.now() > order.not_after
         if late or order.incarnation != self.incarnation:
             raise errors.ProblemError(status=412, code=errors.EXPIRED_ORDER)
@@ -255,7 +257,7 @@
         for start in order.starts:
             self._start(start, order.lease_s)
 
-    def _forget(self, mark: TaskMark) -> None:
+    def _forget(self, mark: AttemptRef) -> None:
         running = self.tasks.get(mark.task)
         if running is None or running.order.attempt > mark.attempt:
             return
@@ -269,13 +271,13 @@
         if running.outcome is not Outcome.RUNNING:
             return
         match stop.how:
-            case Yield.THROTTLE:
+            case PreemptionMode.THROTTLE:
                 running.throttled = True
                 self.revision += 1
                 running.revision = self.revision
-            case Yield.CHECKPOINT:
+            case PreemptionMode.CHECKPOINT:
                 self._end(running, Outcome.STOPPED, "checkpointed")
-            case Yield.STOP | Yield.NEVER:
+            case PreemptionMode.STOP | PreemptionMode.NEVER:
                 self._end(running, Outcome.STOPPED, "stopped by order")
 
     def _renew(self, order: SyncOrder) -> None:
@@ -283,9 +285,9 @@
         for running in self.tasks.values():
             keeps = running.order.keeps
             if order.scope is RenewScope.ALL:
-                running.lease_until = max(running.lease_until, until)
+                running.lease_ends_at = max(running.lease_ends_at, until)
             elif order.scope is RenewScope.KEEP and keeps:
-                running.lease_until = max(running.lease_until, until)
+                running.lease_ends_at = max(running.lease_ends_at, until)
 
     def _start(self, order: StartOrder, lease_s: float) -> None:
         known = self.tasks.get(order.task)
@@ -298,7 +300,7 @@
         running = RunningTask(
             order=order,
             started=now,
-            lease_until=now + lease_s,
+            lease_ends_at=now + lease_s,
             revision=self.revision,
             service=ServiceStandin(
                 task=order.task, attempt=order.attempt, program=order.program
@@ -313,8 +315,8 @@
             self._end(running, Outcome.REFUSED, "no room")
             return
         self.tasks[order.task] = running
-        self._note(order, "started")
-        self.most_used = self.most_used.larger(self.used())
+        self._log_event(order, "started")
+        self.most_used = self.most_used.elementwise_max(self.used())
 
     def used(self) -> Amounts:
         """Return the sum of what running attempts were declared to need."""
@@ -375,11 +377,11 @@
             return
         await running.service.answer(scope, receive, send, self)
 
-    def note_request(self, log: RequestLog) -> None:
+    def record_request(self, log: RequestLog) -> None:
         """Record that a request has begun to run."""
         self.requests.append(log)
 
-    def note_refusal(self) -> None:
+    def record_refusal(self) -> None:
         """Record that a request met no free slot."""
         self.refused_over_slots += 1
 
@@ -393,7 +395,7 @@
             while self.faults.silent:
                 await asyncio.sleep(TICK_S)
             order = codec.decode(await request.body(), SyncOrder)
-            return json_response(self.obey(order))
+            return json_response(self.apply_orders(order))
 
         @get("/v1/record")
         async def record() -> Response[bytes]:
@@ -409,8 +411,8 @@
             await self._serve_task(scope, receive, send)
 
         metrics = Metrics(role="worker", name=self.entry.name)
-        metrics.watch("tasks", lambda: float(len(self.tasks)))
-        metrics.watch("requests", lambda: float(len(self.requests)))
+        metrics.add_gauge("tasks", lambda: float(len(self.tasks)))
+        metrics.add_gauge("requests", lambda: float(len(self.requests)))
         return [sync, record, faults, task, *state_handlers(metrics, self.dump)]
 
     def dump(self) -> dict[str, Any]:
--- a/cranberrycleat/start.py
+++ b/cranberrycleat/start.py
@@ -12,16 +12,16 @@
     # (a tenth of their time). `lifecycle.run` sets the collector for good.
     gc.disable()
     if sys.argv[1:2] == ["node"]:
-        _open_door()
+        _listen_early()
     from cranberrycleat.cli import main as command_line
 
     gc.enable()
     command_line(prog_name="cranberrycleat")
 
 
-def _open_door() -> None:
+def _listen_early() -> None:
     from cranberrycleat.platform.early import callers_address
 
     address = callers_address()
     if address is not None:
-        early_listen.open_early(*address)
+        early_listen.listen_early(*address)
--- a/cranberrycleat/watcher.py
+++ b/cranberrycleat/watcher.py
@@ -17,7 +17,7 @@
 from cranberrycleat.table import ABSENT, Check, Put, Row, Table, Transaction
 
 HEAD_KEY: Final = "config/head"
-SETTLE_TRIES: Final = 3
+MAX_COMMIT_ATTEMPTS: Final = 3
 
 
 @attrs.define(kw_only=True)
@@ -75,7 +75,7 @@
         row, head = await self._read()
         theirs = 0 if head is None else head.version
         if theirs != made_from:
-            raise _lost(made_from, theirs)
+            raise _version_conflict(made_from, theirs)
         change = secrets.token_hex(8)
         ours = ConfigDocument(version=made_from + 1, text=text, change=change)
         version = ABSENT if row is None else row.version
@@ -86,13 +86,13 @@
         return await self._commit(txn, ours)
 
     async def _commit(self, txn: Transaction, ours: ConfigDocument) -> ConfigDocument:
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             try:
                 reply = await self.table.commit(txn)
                 if reply.committed:
                     self.offer(ours)
                     return ours
-                return await self._settle(ours)
+                return await self._resolve_conflict(ours)
             except errors.TableUnavailable:
                 continue
         raise errors.ProblemError(
@@ -102,13 +102,13 @@
             retry_after_s=5,
         )
 
-    async def _settle(self, ours: ConfigDocument) -> ConfigDocument:
+    async def _resolve_conflict(self, ours: ConfigDocument) -> ConfigDocument:
         """After a conflict: the row tells whether an earlier copy took effect."""
         _, head = await self._read()
         self.offer(head)
         if head is not None and head.change == ours.change:
             return ours
-        raise _lost(ours.version - 1, 0 if head is None else head.version)
+        raise _version_conflict(ours.version - 1, 0 if head is None else head.version)
 
     async def _read(self) -> tuple[Row | None, ConfigDocument | None]:
         rows = await self.table.read(keys=(HEAD_KEY,))
@@ -117,7 +117,7 @@
         return rows[0], codec.decode(rows[0].value, ConfigDocument, place=HEAD_KEY)
 
 
-def _lost(ours: int, theirs: int) -> errors.ProblemError:
+def _version_conflict(ours: int, theirs: int) -> errors.ProblemError:
     return errors.ProblemError(
         status=409, code=errors.STALE_VERSION, ours=ours, theirs=theirs
     )
--- a/cranberrycleat/workflow/access.py
+++ b/cranberrycleat/workflow/access.py
@@ -16,11 +16,11 @@
 from cranberrycleat.clock import Clock
 from cranberrycleat.workflow.ports import ClusterConfig, Queue, Workspace
 
-REVOKE_MARGIN_S: Final = 1.0
+REVOKED_KEY_MARGIN_S: Final = 1.0
 """How long before the bound on revoked keys a host stops to trust what it holds: a
 table may keep changes from its feeds for so long."""
-UNKNOWN_MARGIN_S: Final = 0.5
-TOLD_DIGITS: Final = 8
+UNKNOWN_KEY_MARGIN_S: Final = 0.5
+LOGGED_DIGEST_DIGITS: Final = 8
 """Digits of a digest that logs tell."""
 
 
@@ -64,7 +64,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Access:
+class KeyAuthorizer:
     """Judges requests by their keys.
 
     Attributes:
@@ -85,7 +85,7 @@
     _by_digest: dict[str, Workspace] = attrs.field(factory=dict)
     _quotas: dict[str, Amounts] = attrs.field(factory=dict)
 
-    def judge(self, queue: Queue, digest: str) -> Granted | Denied | Undecided:
+    def authorize(self, queue: Queue, digest: str) -> Granted | Denied | Undecided:
         """Judge a request to a queue by the digest of its key; empty: it has none.
 
         A request is sent before it is judged. So it is sent within the bound on
@@ -101,7 +101,7 @@
             return Denied(reason="a key is needed")
         workspace = self._find(config, digest)
         age_s = self.clock.now() - self.confirmed_at()
-        if workspace is None and age_s <= self.config_bound_s - UNKNOWN_MARGIN_S:
+        if workspace is None and age_s <= self.config_bound_s - UNKNOWN_KEY_MARGIN_S:
             return Denied(reason="no workspace has this key")
         if workspace is None or self._may_be_revoked(age_s):
             return Undecided(reason="the configuration here may be old")
@@ -132,7 +132,7 @@
 
     def _may_be_revoked(self, age_s: float) -> bool:
         bound_s = self.revoke_bound_s
-        return bound_s is not None and age_s > bound_s - REVOKE_MARGIN_S
+        return bound_s is not None and age_s > bound_s - REVOKED_KEY_MARGIN_S
 
     def _find(self, config: ClusterConfig, digest: str) -> Workspace | None:
         self._index(config)
@@ -145,7 +145,9 @@
         self._indexed = config
         workspaces = config.workspaces or ()
         self._by_digest = {
-            digest: each for each in workspaces for digest in each.key_digests
+            digest: workspace
+            for workspace in workspaces
+            for digest in workspace.key_digests
         }
         # One that the configuration lacks keeps its last quota for what it still has.
-        self._quotas |= {each.name: each.quota for each in workspaces}
+        self._quotas |= {workspace.name: workspace.quota for workspace in workspaces}
--- a/cranberrycleat/workflow/adapter.py
+++ b/cranberrycleat/workflow/adapter.py
@@ -4,8 +4,8 @@
 from typing import Any, Protocol
 
 from cranberrycleat.table import Put
-from cranberrycleat.workflow.directory import ConfigFollower, Directory
-from cranberrycleat.workflow.door import Door
+from cranberrycleat.workflow.directory import ConfigFollower, WorkerDirectory
+from cranberrycleat.workflow.job_frontend import JobFrontend
 from cranberrycleat.workflow.ports import (
     FeedTable,
     NodeSettings,
@@ -22,7 +22,7 @@
     def settings(self) -> NodeSettings:
         """What this process was told at its start."""
 
-    def reread(self) -> tuple[str, ...]:
+    def reload_settings(self) -> tuple[str, ...]:
         """Read the settings again; return the names of those that changed.
 
         Raises:
@@ -48,13 +48,13 @@
     def wave_status(self, number: int, state: str) -> Put:
         """Return the write that tells the operator of a wave's state."""
 
-    def directory(self) -> Directory:
+    def directory(self) -> WorkerDirectory:
         """Return a reader of the list of workers."""
 
     def config_follower(self) -> ConfigFollower:
         """Return a follower of the configuration."""
 
-    def front(self, door: Door, is_ready: Callable[[], bool]) -> Any:
+    def front(self, job_frontend: JobFrontend, is_ready: Callable[[], bool]) -> Any:
         """Return the ASGI app that callers reach."""
 
     def readiness(self, is_ready: Callable[[], bool]) -> Any:
--- a/cranberrycleat/workflow/answer_timeout.py
+++ b/cranberrycleat/workflow/answer_timeout.py
@@ -13,14 +13,14 @@
 
 import attrs
 
-LEAST_S: Final = 0.2
+MIN_TIMEOUT_S: Final = 0.2
 """Ten times what a calm store takes with its way, and more than a host that
 works five times slower needs to see the answer."""
-MOST_S: Final = 0.7
+MAX_TIMEOUT_S: Final = 0.7
 """A store slowed 60 times answers in 0.25 s, two of them queued in 0.5 s. Longer
 limits delay the first call after an outage: 0.7 s is what that costs now."""
-GAIN: Final = 0.2
-DEVIATIONS: Final = 6.0
+SMOOTHING_GAIN: Final = 0.2
+DEVIATION_FACTOR: Final = 6.0
 
 
 @attrs.define(kw_only=True)
@@ -39,15 +39,15 @@
 
     def limit_s(self) -> float:
         """Return how long to wait for the next answer."""
-        wanted = max(LEAST_S, self.mean_s + DEVIATIONS * self.deviation_s)
-        return min(MOST_S, wanted * 2.0**self.misses)
+        wanted = max(MIN_TIMEOUT_S, self.mean_s + DEVIATION_FACTOR * self.deviation_s)
+        return min(MAX_TIMEOUT_S, wanted * 2.0**self.misses)
 
     def answered(self, seconds: float) -> None:
         """Take in how long an answer took."""
         self.misses = 0
         error = seconds - self.mean_s
-        self.mean_s += GAIN * error
-        self.deviation_s += GAIN * (abs(error) - self.deviation_s)
+        self.mean_s += SMOOTHING_GAIN * error
+        self.deviation_s += SMOOTHING_GAIN * (abs(error) - self.deviation_s)
 
     def missed(self) -> None:
         """Note that an answer did not come within the limit."""
--- a/cranberrycleat/workflow/batches.py
+++ b/cranberrycleat/workflow/batches.py
@@ -15,12 +15,12 @@
 from cranberrycleat.logs import emit
 from cranberrycleat.table import Put
 from cranberrycleat.workflow import rows
-from cranberrycleat.workflow.board import Board
+from cranberrycleat.workflow.cluster_state import ClusterState
 from cranberrycleat.workflow.fleet import Placement
-from cranberrycleat.workflow.options import MOST_BATCH_BYTES
-from cranberrycleat.workflow.state import FINAL, Job, JobState, LeftAttempt
+from cranberrycleat.workflow.options import MAX_BATCH_BYTES
+from cranberrycleat.workflow.state import FINAL_STATES, Job, JobState, OrphanedAttempt
 
-MOST_ENTRIES: Final = 96
+MAX_ENTRIES: Final = 96
 """A transaction holds 100 entries, one of them the owner's row. A job needs one
 to three: 30 jobs a transaction, whatever they need, were too few in a slow store,
 which takes 0.45 s for each, at 50 jobs a second with three writes each."""
@@ -42,10 +42,10 @@
     puts: tuple[Put, ...]
     deletes: tuple[str, ...]
     placements: tuple[Placement, ...]
-    heard: tuple[tuple[str, int], ...]
+    acknowledgeable: tuple[tuple[str, int], ...]
 
 
-def take_batch(board: Board, most_bytes: int = MOST_BATCH_BYTES) -> Batch:
+def take_batch(cluster_state: ClusterState, most_bytes: int = MAX_BATCH_BYTES) -> Batch:
     """Return what to store next; the rest stays dirty.
 
     Args:
@@ -56,15 +56,15 @@
     puts: list[Put] = []
     deletes: list[str] = []
     size = 0
-    for job in list(board.dirty.values()):
-        wanted = _puts_of(board, job)
+    for job in list(cluster_state.dirty.values()):
+        wanted = _job_puts(cluster_state, job)
         ended = job.verdict is not None and not job.spec_inline
         entries = len(puts) + len(deletes) + len(wanted) + ended
         size += sum(len(each.value) for each in wanted)
-        if chosen and (entries > MOST_ENTRIES or size > most_bytes):
+        if chosen and (entries > MAX_ENTRIES or size > most_bytes):
             break
-        del board.dirty[job.job_id]
-        job.offered = True
+        del cluster_state.dirty[job.job_id]
+        job.sent_to_table = True
         chosen.append(job)
         puts += wanted
         if ended:
@@ -73,24 +73,26 @@
         jobs=tuple((job, job.state()) for job in chosen),
         puts=tuple(puts),
         deletes=tuple(deletes),
-        placements=tuple(_unstored(board, chosen)),
-        heard=tuple(_settled_ends(board)),
+        placements=tuple(_unstored_placements(cluster_state, chosen)),
+        acknowledgeable=tuple(_acknowledgeable_ends(cluster_state)),
     )
 
 
-def _puts_of(board: Board, job: Job) -> list[Put]:
-    wanted = [rows.job_put(job, tuple(_left(board, job)))]
+def _job_puts(cluster_state: ClusterState, job: Job) -> list[Put]:
+    wanted = [rows.job_put(job, tuple(_orphaned_attempts(cluster_state, job)))]
     if job.verdict is None and not job.spec_stored and not job.spec_inline:
         wanted.append(rows.spec_put(job))
     return wanted
 
 
-def _left(board: Board, job: Job) -> Iterator[LeftAttempt]:
+def _orphaned_attempts(
+    cluster_state: ClusterState, job: Job
+) -> Iterator[OrphanedAttempt]:
     """Yield what still counts of a job though the row names no task placed so."""
-    for worker, placement in board.placements_of(job.job_id):
+    for worker, placement in cluster_state.placements_of(job.job_id):
         if job.verdict is None and placement.is_current:
             continue
-        yield LeftAttempt(
+        yield OrphanedAttempt(
             task=placement.task,
             attempt=placement.attempt,
             worker=worker.name,
@@ -98,61 +100,71 @@
         )
 
 
-def _settled_ends(board: Board) -> Iterator[tuple[str, int]]:
+def _acknowledgeable_ends(cluster_state: ClusterState) -> Iterator[tuple[str, int]]:
     """Return up to which end each worker may forget once the batch is stored.
 
     An end may be acknowledged when its job is not dirty any more. Waiting until
     nothing at all is dirty would, in a backlog, acknowledge nothing for long. The
     end of a job whose row nobody here can read is kept by its worker.
     """
-    for worker in board.fleet.workers.values():
+    for worker in cluster_state.fleet.workers.values():
         upto = worker.ended_upto
-        for number, job_id in worker.heard_ends:
-            if job_id in board.dirty or job_id in board.unreadable:
+        for number, job_id in worker.unstored_ends:
+            if job_id in cluster_state.dirty or job_id in cluster_state.unreadable:
                 break
             upto = number
         if upto > worker.ended_upto:
             yield worker.name, upto
 
 
-def _unstored(board: Board, chosen: Iterable[Job]) -> Iterator[Placement]:
+def _unstored_placements(
+    cluster_state: ClusterState, chosen: Iterable[Job]
+) -> Iterator[Placement]:
     for job in chosen:
-        for _, placement in board.placements_of(job.job_id):
+        for _, placement in cluster_state.placements_of(job.job_id):
             if not placement.stored:
                 yield placement
 
 
-def note_stored(board: Board, batch: Batch) -> None:
+def note_stored(cluster_state: ClusterState, batch: Batch) -> None:
     """Note that the table has a batch."""
     for job, state in batch.jobs:
-        _tell_stored(board, job, state)
+        _log_stored(cluster_state, job, state)
         job.spec_stored = True
-        board.shown[job.job_id] = state
+        cluster_state.reported[job.job_id] = state
     for placement in batch.placements:
         placement.stored = True
-    for name, number in batch.heard:
-        worker = board.fleet.workers.get(name)
+    for name, number in batch.acknowledgeable:
+        worker = cluster_state.fleet.workers.get(name)
         if worker is not None:
             worker.acknowledge(number)
 
 
-def _tell_stored(board: Board, job: Job, state: JobState) -> None:
-    now_s = board.time_of_day()
+def _log_stored(cluster_state: ClusterState, job: Job, state: JobState) -> None:
+    now_s = cluster_state.time_of_day()
     if not job.spec_stored:
         after_s = round(now_s - job.accepted_s, 4)
         emit(events.JobStored(job=job.job_id, after_s=after_s))
-    if state in FINAL and board.shown.get(job.job_id) is not state:
+    if state in FINAL_STATES and cluster_state.reported.get(job.job_id) is not state:
         after_s = round(now_s - job.ended_s, 4)
-        shown = events.JobShown(job=job.job_id, state=state.value, after_end_s=after_s)
-        emit(shown)
+        reported = events.JobShown(
+            job=job.job_id, state=state.value, after_end_s=after_s
+        )
+        emit(reported)
 
 
-def forget_ended(board: Board, before_s: float, most: int) -> tuple[str, ...]:
+def purge_ended_jobs(
+    cluster_state: ClusterState, before_s: float, max_jobs: int
+) -> tuple[str, ...]:
     """Forget jobs that ended before a time; return their rows' keys."""
     old: list[str] = []
-    while board.ended and board.ended[0][0] < before_s and len(old) < most:
-        _, job_id = heapq.heappop(board.ended)
-        if board.jobs.pop(job_id, None) is not None:
+    while (
+        cluster_state.ended
+        and cluster_state.ended[0][0] < before_s
+        and len(old) < max_jobs
+    ):
+        _, job_id = heapq.heappop(cluster_state.ended)
+        if cluster_state.jobs.pop(job_id, None) is not None:
             old.append(job_id)
-        board.shown.pop(job_id, None)
+        cluster_state.reported.pop(job_id, None)
     return tuple(rows.job_key(job_id) for job_id in old)
--- a/cranberrycleat/workflow/board.py
+++ b/cranberrycleat/workflow/cluster_state.py
@@ -13,21 +13,21 @@
 
 from cranberrycleat import events
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.clock import BootClock, DayClock
+from cranberrycleat.clock import BootClock, WallClock
 from cranberrycleat.logs import emit
 from cranberrycleat.workflow.fleet import (
+    AttemptKey,
     Fleet,
     FleetWorker,
-    Key,
-    Loss,
+    Liveness,
+    LossCause,
     Placement,
-    Standing,
-    adopted,
-    counted,
+    adopted_placement,
+    attempts_by_key,
     job_of,
-    listed_attempts,
+    reserved_resources,
 )
-from cranberrycleat.workflow.loss_ledger import LossLedger
+from cranberrycleat.workflow.loss_tracker import LossTracker
 from cranberrycleat.workflow.ordering import objective_s
 from cranberrycleat.workflow.permit_choice import AllowedShare
 from cranberrycleat.workflow.permits import StepPermits
@@ -41,30 +41,30 @@
     identity_of,
 )
 from cranberrycleat.workflow.quota import QuotaLedger
-from cranberrycleat.workflow.retrying import pause_s
+from cranberrycleat.workflow.retrying import retry_delay_s
 from cranberrycleat.workflow.spec import WorkflowSpec
 from cranberrycleat.workflow.state import (
     Job,
     JobState,
-    LeftAttempt,
+    OrphanedAttempt,
     StepRun,
     Task,
     TaskState,
 )
 
-MOST_ENDS: Final = 500
+MAX_ENDS_PER_SYNC: Final = 500
 """A worker lists this many ends at a time."""
-LONGEST_TOLD_S: Final = 999.0
+MAX_REPORTED_SURVIVAL_S: Final = 999.0
 """What a log says of an attempt that began before this owner took over."""
-AT_WORK: Final = 100
+FULL_SPEED_PERCENT: Final = 100
 """Percent at which a member of a service counts as at work."""
 
-Placed = tuple[FleetWorker, Placement]
+ReservedAttempt = tuple[FleetWorker, Placement]
 """An attempt, and where it counts."""
 
 
 @attrs.define(kw_only=True, eq=False)
-class Board:
+class ClusterState:
     """Jobs, workers and placements of one owner.
 
     Attributes:
@@ -90,27 +90,29 @@
             neither stopped nor acknowledged: whoever can read them decides.
     """
 
-    time_of_day: Callable[[], float] = attrs.field(factory=lambda: DayClock().now_s)
+    time_of_day: Callable[[], float] = attrs.field(factory=lambda: WallClock().now_s)
     now: Callable[[], float] = attrs.field(factory=lambda: BootClock().now)
     jobs: dict[str, Job] = attrs.field(factory=dict)
     fleet: Fleet = attrs.field(factory=Fleet)
     permits: dict[str, StepPermits] = attrs.field(factory=dict)
-    shares: dict[str, AllowedShare] = attrs.field(factory=dict)
+    permit_shares: dict[str, AllowedShare] = attrs.field(factory=dict)
     waiting: dict[str, StepRun] = attrs.field(factory=dict)
-    shown: dict[str, JobState] = attrs.field(factory=dict)
+    reported: dict[str, JobState] = attrs.field(factory=dict)
     dirty: dict[str, Job] = attrs.field(factory=dict)
     inbox: set[str] = attrs.field(factory=set)
-    placed: dict[str, dict[Key, Placed]] = attrs.field(factory=dict)
+    placed: dict[str, dict[AttemptKey, ReservedAttempt]] = attrs.field(factory=dict)
     unstarted: dict[str, set[str]] = attrs.field(factory=dict)
     ended: list[tuple[float, str]] = attrs.field(factory=list)
     stops_due: set[str] = attrs.field(factory=set)
     unreadable: set[str] = attrs.field(factory=set)
     quotas: QuotaLedger = attrs.field(factory=QuotaLedger)
     _scheduled: set[str] = attrs.field(factory=set)
-    losses: LossLedger = attrs.field(init=False)
+    losses: LossTracker = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.losses = LossLedger(fleet=self.fleet, now=self.now, changed=self._note)
+        self.losses = LossTracker(
+            fleet=self.fleet, now=self.now, changed=self._mark_dirty
+        )
 
     # --- jobs ---------------------------------------------------------------
 
@@ -144,11 +146,11 @@
             queue=queue,
             spec=spec,
             accepted_s=accepted_s,
-            spec_inline=spec.is_small(),
+            spec_inline=spec.fits_inline(),
             workspace=workspace,
         )
         self.jobs[job_id] = job
-        self._count_unstarted(job)
+        self._track_unstarted(job)
         emit(
             events.JobAccepted(
                 job=job_id,
@@ -156,7 +158,9 @@
                 steps=len(spec.steps),
                 tasks=sum(step.count for step in spec.steps),
                 runs=spec.occurrences(),
-                due_in_s=round((job.opens_at() or 0.0) - job.accepted_s, 3),
+                due_in_s=round(
+                    (job.next_occurrence_due_s() or 0.0) - job.accepted_s, 3
+                ),
                 labels=tuple(sorted({each.label for each in spec.steps if each.label})),
                 objective_s=round(objective_s(job), 3),
                 stretch=queue.stretch,
@@ -164,8 +168,8 @@
                 workspace=workspace,
             )
         )
-        self._note(job)
-        self.open_due(job)
+        self._mark_dirty(job)
+        self.open_due_occurrences(job)
         return job
 
     def withdraw(self, job_id: str) -> bool:
@@ -175,11 +179,11 @@
             Whether it is forgotten; else the table may have it.
         """
         job = self.jobs.get(job_id)
-        if job is None or job.offered or job_id in self.inbox:
+        if job is None or job.sent_to_table or job_id in self.inbox:
             return False
         for worker, placement in self.placements_of(job_id):
-            self._uncount(worker, placement)
-        self._drop_steps(job)
+            self._unreserve(worker, placement)
+        self._remove_waiting_steps(job)
         self.dirty.pop(job_id, None)
         del self.jobs[job_id]
         return True
@@ -188,59 +192,61 @@
         """Take in a job that an earlier owner stored, maybe by a clock ahead."""
         job.accepted_s = min(job.accepted_s, self.time_of_day())
         self.jobs[job.job_id] = job
-        self.shown[job.job_id] = job.state()
+        self.reported[job.job_id] = job.state()
         if job.verdict is None:
-            self._count_unstarted(job)
+            self._track_unstarted(job)
             self.losses.restore(job)
-            self.open_due(job)
+            self.open_due_occurrences(job)
         else:
             heapq.heappush(self.ended, (job.ended_s, job.job_id))
 
-    def open_due(self, job: Job) -> None:
+    def open_due_occurrences(self, job: Job) -> None:
         """Open every occurrence of a job that is due."""
         now_s = self.time_of_day()
-        due = job.opens_at()
+        due = job.next_occurrence_due_s()
         while due is not None and due <= now_s:
             job.open_occurrence()
-            self._note(job)
-            due = job.opens_at()
+            self._mark_dirty(job)
+            due = job.next_occurrence_due_s()
         if due is None:
             self._scheduled.discard(job.job_id)
         else:
             self._scheduled.add(job.job_id)
-        self._note_waiting(job)
+        self._enqueue_ready_steps(job)
 
-    def open_all_due(self) -> None:
+    def open_all_due_occurrences(self) -> None:
         """Open every occurrence of any job that is due."""
         for job_id in list(self._scheduled):
-            self.open_due(self.jobs[job_id])
+            self.open_due_occurrences(self.jobs[job_id])
 
     def next_due_s(self) -> float | None:
         """Return when the next occurrence is due, since 1970; None: none is."""
-        due = [self.jobs[each].opens_at() for each in self._scheduled]
-        return min((each for each in due if each is not None), default=None)
+        due_times = [
+            self.jobs[each].next_occurrence_due_s() for each in self._scheduled
+        ]
+        return min((each for each in due_times if each is not None), default=None)
 
     def cancel(self, job_id: str) -> Job | None:
         """Cancel a job; one that is final stays as it is."""
         job = self.jobs.get(job_id)
         if job is not None and job.verdict is None:
-            self._close(job, JobState.CANCELLED)
+            self._finish_job(job, JobState.CANCELLED)
         return job
 
-    def _close(self, job: Job, verdict: JobState) -> None:
+    def _finish_job(self, job: Job, verdict: JobState) -> None:
         if job.ended_s:
             # What was placed of it is over; that it has ended is known.
             return
         job.verdict = verdict
         job.ended_s = self.time_of_day()
         heapq.heappush(self.ended, (job.ended_s, job.job_id))
-        self._tell_ended(job)
-        self._note(job)
-        self._drop_steps(job)
+        self._emit_job_ended(job)
+        self._mark_dirty(job)
+        self._remove_waiting_steps(job)
         for worker, placement in self.placements_of(job.job_id):
             self.stop(worker, placement, verdict.value)
 
-    def _tell_ended(self, job: Job) -> None:
+    def _emit_job_ended(self, job: Job) -> None:
         assert job.verdict is not None
         after_s = job.ended_s - job.accepted_s
         objective = objective_s(job)
@@ -256,16 +262,16 @@
             )
         )
 
-    def _drop_steps(self, job: Job) -> None:
+    def _remove_waiting_steps(self, job: Job) -> None:
         """Nothing of a job waits for a place any more."""
         for occurrence in job.open.values():
             for step in occurrence.steps:
-                self._drop_step(step)
+                self._remove_waiting_step(step)
         self._scheduled.discard(job.job_id)
         self.losses.forget(job.job_id)
-        self._uncount_unstarted(job)
+        self._untrack_unstarted(job)
 
-    def _drop_step(self, step: StepRun) -> None:
+    def _remove_waiting_step(self, step: StepRun) -> None:
         self.waiting.pop(step.name, None)
         self.permits.pop(step.name, None)
 
@@ -276,28 +282,28 @@
             return None
         found = self.permits.get(step.name)
         if found is None:
-            share = self.shares.setdefault(queue.name, AllowedShare())
+            share = self.permit_shares.setdefault(queue.name, AllowedShare())
             found = StepPermits(policy=queue.permits, share=share)
             self.permits[step.name] = found
         return found
 
     def permit_refused(self, worker: FleetWorker, placement: Placement) -> None:
         """A worker refused the permit that an attempt was to start with."""
-        task = placement.subject
+        task = placement.tracked_task
         permits = None if task is None else self.permits.get(task.step.name)
         if permits is not None:
             permits.refused(worker.name)
 
     def is_over_quota(self, placement: Placement) -> bool:
         """Tell whether an attempt's workspace has more than its quota allows."""
-        task = placement.subject
+        task = placement.tracked_task
         return task is not None and self.quotas.is_over(task.step.job.workspace)
 
-    def placements_of(self, job_id: str) -> tuple[Placed, ...]:
+    def placements_of(self, job_id: str) -> tuple[ReservedAttempt, ...]:
         """Return everything of a job that counts on a worker."""
         return tuple(self.placed.get(job_id, {}).values())
 
-    def _count(self, worker: FleetWorker, placement: Placement) -> None:
+    def _reserve(self, worker: FleetWorker, placement: Placement) -> None:
         worker.count(placement)
         job_id = job_of(placement.task)
         of_job = self.placed.setdefault(job_id, {})
@@ -307,7 +313,7 @@
             key = (worker.name, placement.task, placement.attempt)
             self.quotas.charge(key, job.workspace, placement.needs)
 
-    def _uncount(self, worker: FleetWorker, placement: Placement) -> None:
+    def _unreserve(self, worker: FleetWorker, placement: Placement) -> None:
         worker.uncount(placement)
         self.quotas.release((worker.name, placement.task, placement.attempt))
         job_id = job_of(placement.task)
@@ -316,10 +322,10 @@
         if not of_job:
             self.placed.pop(job_id, None)
 
-    def _note(self, job: Job) -> None:
+    def _mark_dirty(self, job: Job) -> None:
         self.dirty[job.job_id] = job
 
-    def _note_waiting(self, job: Job) -> None:
+    def _enqueue_ready_steps(self, job: Job) -> None:
         for occurrence in job.open.values():
             for step in occurrence.ready_steps():
                 if step.done < len(step.tasks) and job.verdict is None:
@@ -327,14 +333,14 @@
                         step.ready_at = self.now()
                     self.waiting[step.name] = step
 
-    def _count_unstarted(self, job: Job) -> None:
+    def _track_unstarted(self, job: Job) -> None:
         if not job.has_begun() and job.spec.schedule is None:
             self.unstarted.setdefault(job.queue.name, set()).add(job.job_id)
 
-    def _uncount_unstarted(self, job: Job) -> None:
+    def _untrack_unstarted(self, job: Job) -> None:
         self.unstarted.get(job.queue.name, set()).discard(job.job_id)
 
-    def waiting_of(self, queue: str) -> int:
+    def queue_length(self, queue: str) -> int:
         """Return how many accepted jobs of a queue have started nothing."""
         return len(self.unstarted.get(queue, ()))
 
@@ -349,14 +355,14 @@
         placement = Placement(
             task=task.name,
             attempt=attempt,
-            needs=counted(task.step.spec),
-            subject=task,
+            needs=reserved_resources(task.step.spec),
+            tracked_task=task,
             program=job.spec.program,
             saved=task.saved,
             planned_at=now,
         )
-        self._count(worker, placement)
-        self._note(job)
+        self._reserve(worker, placement)
+        self._mark_dirty(job)
         emit(
             events.TaskPlaced(
                 task=task.name,
@@ -372,7 +378,7 @@
         """Count every placement that an earlier owner stored."""
         for job in self.jobs.values():
             for left in job.left:
-                self._adopt_left(left, now)
+                self._adopt_orphaned_attempt(left, now)
             for occurrence in job.open.values():
                 for step in occurrence.steps:
                     for task in step.tasks:
@@ -380,22 +386,24 @@
                             self._adopt(task, now)
 
     def _adopt(self, task: Task, now: float) -> None:
-        placement = adopted(task.name, task.attempt, counted(task.step.spec), task, now)
+        placement = adopted_placement(
+            task.name, task.attempt, reserved_resources(task.step.spec), task, now
+        )
         placement.program = task.step.job.spec.program
-        self._count(self._worker_of(task.worker, placement.needs), placement)
+        self._reserve(self._worker_of(task.worker, placement.needs), placement)
 
-    def _adopt_left(self, left: LeftAttempt, now: float) -> None:
+    def _adopt_orphaned_attempt(self, left: OrphanedAttempt, now: float) -> None:
         """Count and stop what an earlier owner had not heard to be over."""
-        placement = adopted(left.task, left.attempt, left.needs, None, now)
+        placement = adopted_placement(left.task, left.attempt, left.needs, None, now)
         worker = self._worker_of(left.worker, left.needs)
-        self._count(worker, placement)
+        self._reserve(worker, placement)
         self.stop(worker, placement, "its owner died before it was heard to end")
 
     def _worker_of(self, name: str, needs: Amounts) -> FleetWorker:
         """Return the incarnation that an earlier owner placed work on."""
-        return self.fleet.workers.get(name) or self._unlisted(name, needs)
+        return self.fleet.workers.get(name) or self._add_unlisted_worker(name, needs)
 
-    def _unlisted(self, name: str, needs: Amounts) -> FleetWorker:
+    def _add_unlisted_worker(self, name: str, needs: Amounts) -> FleetWorker:
         """Take in an incarnation that the platform does not list.
 
         If it lists a later one, that one's first list tells what became of the work;
@@ -405,8 +413,8 @@
         born_ms = int(name.removeprefix(identity).removeprefix("@") or 0)
         newest = self.fleet.newest.get(identity)
         if newest is not None and newest.entry.born_ms < born_ms:
-            next_life = newest.entry.next_life(born_ms)
-            return self.fleet.succeed(newest, next_life, self.now())
+            for_incarnation = newest.entry.for_incarnation(born_ms)
+            return self.fleet.replace_incarnation(newest, for_incarnation, self.now())
         entry = WorkerEntry(
             worker=identity,
             pool="",
@@ -417,32 +425,32 @@
             labels=(),
             born_ms=born_ms,
         )
-        worker = FleetWorker(entry=entry, listed=False, standing=Standing.SILENT)
+        worker = FleetWorker(entry=entry, listed=False, liveness=Liveness.SILENT)
         if newest is None:
             self.fleet.add(worker)
         else:
             self.fleet.workers[worker.name] = worker
-            worker.standing = Standing.RESTARTED
-            worker.before, newest.before = newest.before, worker
+            worker.liveness = Liveness.RESTARTED
+            worker.previous, newest.previous = newest.previous, worker
         return worker
 
     def move(
-        self, before: FleetWorker, worker: FleetWorker, placement: Placement
+        self, previous: FleetWorker, worker: FleetWorker, placement: Placement
     ) -> None:
         """An attempt was carried out by a later incarnation than it was placed on."""
-        self._uncount(before, placement)
-        self._count(worker, placement)
+        self._unreserve(previous, placement)
+        self._reserve(worker, placement)
         placement.ordered = True
         if not placement.running:
             placement.began(self.now())
-        task = placement.subject
+        task = placement.tracked_task
         if task is not None and placement.is_current:
             task.worker = worker.name
-            self._note(task.step.job)
+            self._mark_dirty(task.step.job)
 
     def give_up(self, worker: FleetWorker, placement: Placement, reason: str) -> None:
         """An attempt is proved not to run: its task waits again."""
-        self._uncount(worker, placement)
+        self._unreserve(worker, placement)
         emit(
             events.TaskGivenUp(
                 task=placement.task,
@@ -450,15 +458,17 @@
                 worker=worker.name,
                 reason=reason,
                 began=placement.running,
-                survived_s=round(min(LONGEST_TOLD_S, worker.survived_s(placement)), 3),
+                survived_s=round(
+                    min(MAX_REPORTED_SURVIVAL_S, worker.survived_s(placement)), 3
+                ),
             )
         )
-        task = placement.subject
+        task = placement.tracked_task
         if task is not None and placement.is_current:
             job = task.step.job
             if task.state is TaskState.PLACED:
                 job.unplace(task)
-                self._note(job)
+                self._mark_dirty(job)
             self._after_end(job, task.step)
 
     def stop(self, worker: FleetWorker, placement: Placement, reason: str) -> None:
@@ -471,64 +481,64 @@
         due, self.stops_due = self.stops_due, set()
         return due
 
-    def lapse(self, worker: FleetWorker, loss: Loss) -> int:
+    def give_up_all(self, worker: FleetWorker, loss: LossCause) -> int:
         """Nothing can run there any more: give up all; return how many."""
         placements = list(worker.placements.values())
         if not placements:
             # Asked at each look at a silent worker, for as long as it is silent.
             return 0
-        with_it = self.fleet.falls_with(worker)
+        correlated = self.fleet.failures_correlated_with(worker)
         for placement in placements:
-            if self.losses.note(worker, placement, with_it):
-                self._fail(placement)
+            if self.losses.record_loss(worker, placement, correlated):
+                self._fail_job(placement)
             self.give_up(worker, placement, loss.value)
         return len(placements)
 
     @staticmethod
-    def _fail(placement: Placement) -> None:
+    def _fail_job(placement: Placement) -> None:
         """Have the job of an attempt fail as soon as that is given up."""
-        assert placement.subject is not None
-        placement.subject.step.job.verdict = JobState.FAILED
+        assert placement.tracked_task is not None
+        placement.tracked_task.step.job.verdict = JobState.FAILED
 
     # --- what workers say -----------------------------------------------------
 
     def note_begun(self, placement: Placement) -> None:
         """A worker said that it began an attempt: its job waits no longer."""
-        if placement.subject is not None:
-            self._uncount_unstarted(placement.subject.step.job)
+        if placement.tracked_task is not None:
+            self._untrack_unstarted(placement.tracked_task.step.job)
 
     def sync(
         self, worker: FleetWorker, reply: SyncReply, *, sent_at: float, now: float
     ) -> list[EndedTask]:
         """Take in a worker's lists; return the ends that are new."""
-        worker.heard_time(reply.worker_time_ms, now)
+        worker.update_clock(reply.worker_time_ms, now)
         fresh = [end for end in reply.ended if end.number > worker.heard_upto]
         for end in fresh:
-            self._ended(worker, end, now)
-            worker.hear_end(end.number, job_of(end.task))
-        listed = listed_attempts(reply.running)
+            self._handle_end(worker, end, now)
+            worker.record_end(end.number, job_of(end.task))
+        listed = attempts_by_key(reply.running)
         for key, run in listed.items():
-            self._runs(worker, key, run, now)
-        if len(reply.ended) < MOST_ENDS:
-            self._check_missing(worker, listed, sent_at)
+            self._handle_running(worker, key, run, now)
+        if len(reply.ended) < MAX_ENDS_PER_SYNC:
+            self._give_up_missing(worker, listed, sent_at)
         return fresh
 
-    def _runs(
-        self, worker: FleetWorker, key: Key, run: RunningTask, now: float
+    def _handle_running(
+        self, worker: FleetWorker, key: AttemptKey, run: RunningTask, now: float
     ) -> None:
         placement = worker.placements.get(key)
         if placement is None:
-            placement = self._stray(worker, run)
-        placement.heard(run, now)
+            placement = self._add_orphaned_attempt(worker, run)
+        placement.apply_report(run, now)
         self.note_begun(placement)
-        task = placement.subject
-        self.losses.settle(worker, placement)
+        task = placement.tracked_task
+        self.losses.attempt_survived(worker, placement)
         if task is not None and placement.is_current:
-            task.at_work = run.percent >= AT_WORK
+            task.at_full_speed = run.percent >= FULL_SPEED_PERCENT
         if run.saved and task is not None and placement.is_current:
             task.step.job.note_saved(task, run.saved)
 
-    def _stray(self, worker: FleetWorker, run: RunningTask) -> Placement:
+    def _add_orphaned_attempt(self, worker: FleetWorker, run: RunningTask) -> Placement:
         """Count an attempt that no job wants, until it has been stopped."""
         job_id = job_of(run.task)
         job = self.jobs.get(job_id)
@@ -536,19 +546,19 @@
         placement = Placement(
             task=run.task,
             attempt=run.attempt,
-            needs=NOTHING if task is None else counted(task.step.spec),
-            subject=None,
+            needs=NOTHING if task is None else reserved_resources(task.step.spec),
+            tracked_task=None,
             unsized=task is None,
             stored=True,
             ordered=True,
             stopping=job_id not in self.unreadable,
             stop_reason="unknown attempt",
         )
-        self._count(worker, placement)
+        self._reserve(worker, placement)
         return placement
 
-    def _check_missing(
-        self, worker: FleetWorker, listed: dict[Key, RunningTask], sent_at: float
+    def _give_up_missing(
+        self, worker: FleetWorker, listed: dict[AttemptKey, RunningTask], sent_at: float
     ) -> None:
         """What ran before the question was sent and is in no list is over."""
         for key, placement in list(worker.placements.items()):
@@ -557,10 +567,10 @@
             if placement.running_since < sent_at:
                 self.give_up(worker, placement, "in neither list")
 
-    def _ended(self, worker: FleetWorker, end: EndedTask, now: float) -> None:
+    def _handle_end(self, worker: FleetWorker, end: EndedTask, now: float) -> None:
         placement = worker.placements.get((end.task, end.attempt))
         if placement is not None:
-            self._uncount(worker, placement)
+            self._unreserve(worker, placement)
         job = self.jobs.get(job_of(end.task))
         task = None if job is None else job.find(end.task)
         emit(
@@ -573,10 +583,10 @@
                 current=placement is not None and placement.is_current,
             )
         )
-        self._judge(worker, end, now)
+        self._update_worker_health(worker, end, now)
         if job is None or task is None or job.verdict is not None:
             return
-        self._uncount_unstarted(job)
+        self._untrack_unstarted(job)
         if task.state is TaskState.DONE:
             return
         given_up = task.attempt != end.attempt or (
@@ -585,25 +595,25 @@
         if given_up:
             if end.how is not EndKind.DONE or task.step.spec.service:
                 return
-            self._drop_later_attempts(task)
+            self._stop_later_attempts(task)
         job.end(task, end.how, end.saved)
         if end.how is EndKind.FAILED:
             task.failed_on.add(worker.name)
-            self._put_off(task, now)
-        self._note(job)
+            self._delay_retry(task, now)
+        self._mark_dirty(job)
         self._after_end(job, task.step)
 
-    def _put_off(self, task: Task, now: float) -> None:
+    def _delay_retry(self, task: Task, now: float) -> None:
         """Note when a task whose attempt failed may be tried again."""
         step = task.step
-        task.not_before = now + pause_s(
+        task.not_before = now + retry_delay_s(
             failures=step.gang_failures if step.spec.gang else task.failures,
             most_attempts=step.job.queue.max_attempts,
             failed_on=len(task.failed_on),
             service=step.spec.service,
         )
 
-    def _drop_later_attempts(self, task: Task) -> None:
+    def _stop_later_attempts(self, task: Task) -> None:
         """An attempt that was given up was done: its task must not run again.
 
         Its worker could not be reached until its leases were over, so that the
@@ -616,32 +626,34 @@
             if placement.task in names:
                 self.stop(worker, placement, "an earlier attempt was done")
 
-    def _judge(self, worker: FleetWorker, end: EndedTask, now: float) -> None:
+    def _update_worker_health(
+        self, worker: FleetWorker, end: EndedTask, now: float
+    ) -> None:
         if end.how is EndKind.DONE:
-            worker.note_success()
+            worker.record_attempt_success()
         elif end.how is EndKind.FAILED:
-            if worker.note_failure(job_of(end.task), now):
-                emit(events.WorkerRests(worker=worker.name, rest_s=worker.rest_s))
+            if worker.record_attempt_failure(job_of(end.task), now):
+                emit(events.WorkerQuarantined(worker=worker.name, rest_s=worker.rest_s))
 
     def _after_end(self, job: Job, step: StepRun) -> None:
         if job.verdict is not None:
-            self._close(job, job.verdict)
+            self._finish_job(job, job.verdict)
             return
         if step.is_done:
-            self._drop_step(step)
+            self._remove_waiting_step(step)
         if step.spec.gang:
-            self._stop_rest(step)
-        self._note_waiting(job)
+            self._stop_incomplete_gang(step)
+        self._enqueue_ready_steps(job)
 
-    def _stop_rest(self, step: StepRun) -> None:
+    def _stop_incomplete_gang(self, step: StepRun) -> None:
         """A gang that lost a member stops, so that all can start together."""
         if all(task.state is not TaskState.PENDING for task in step.tasks):
             return
-        for worker, placement in self._members_of(step):
+        for worker, placement in self._current_attempts(step):
             if not placement.stopping:
                 self.stop(worker, placement, "gang lost a member")
 
-    def _members_of(self, step: StepRun) -> Iterator[Placed]:
+    def _current_attempts(self, step: StepRun) -> Iterator[ReservedAttempt]:
         """Yield the current attempts of a step, and where they count."""
         for task in step.tasks:
             worker = self.fleet.workers.get(task.worker)
@@ -651,7 +663,7 @@
             if placement is not None:
                 yield worker, placement
 
-    def break_waiting_gangs(self, silent: FleetWorker) -> bool:
+    def stop_blocked_gangs(self, silent: FleetWorker) -> bool:
         """Stop the members that wait for one on a silent worker; tell if any did.
 
         Until its leases are over nothing of it can be placed anew; the others would
@@ -660,14 +672,14 @@
         """
         stopped = False
         for member in list(silent.placements.values()):
-            task = member.subject
+            task = member.tracked_task
             if task is None or not task.step.spec.gang or not member.is_current:
                 continue
-            members = list(self._members_of(task.step))
-            if any(each.percent > 0 for _, each in members):
+            members = list(self._current_attempts(task.step))
+            if any(placement.percent > 0 for _, placement in members):
                 continue
-            for worker, each in members:
-                if worker.standing is Standing.LIVE and not each.stopping:
-                    self.stop(worker, each, "a member's worker has fallen silent")
+            for worker, placement in members:
+                if worker.liveness is Liveness.LIVE and not placement.stopping:
+                    self.stop(worker, placement, "a member's worker has fallen silent")
                     stopped = True
         return stopped
--- a/cranberrycleat/workflow/config_watch.py
+++ b/cranberrycleat/workflow/config_watch.py
@@ -12,14 +12,14 @@
 from cranberrycleat import errors, events
 from cranberrycleat.clock import Clock
 from cranberrycleat.logs import emit
-from cranberrycleat.workflow.contact import STORE_FRESH_S, Contact
 from cranberrycleat.workflow.directory import ConfigFollower
-from cranberrycleat.workflow.peering import FAR_S
+from cranberrycleat.workflow.peering import NEVER_S
+from cranberrycleat.workflow.reachability import TABLE_FRESH_S, Reachability
 
-WAIT_S: Final = 1.0
+LONG_POLL_S: Final = 1.0
 """How long the table holds a question for a newer configuration open; a
 connection that went silent shows within this and the client's time limit."""
-PAUSE_S: Final = 0.2
+RETRY_INTERVAL_S: Final = 0.2
 LATE_MARGIN_S: Final = 0.5
 """A newer configuration is heard of with a digest (0.3 s) after its first reader
 took it in (0.2 s for 1 MB on a fast link), and the bound counts from before that."""
@@ -42,45 +42,45 @@
     """
 
     follower: ConfigFollower
-    contact: Contact
+    reachability: Reachability
     clock: Clock
     bound_s: float
-    first: asyncio.Event = attrs.field(factory=asyncio.Event)
-    unread: int = 0
+    first_read_done: asyncio.Event = attrs.field(factory=asyncio.Event)
+    failed_reads: int = 0
     confirmed_at: float = float("-inf")
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            began = self.clock.now()
+            started_at = self.clock.now()
             try:
-                await self.follower.follow(0.0 if self.unread else WAIT_S)
-                self.unread = 0
-                self._confirm(began)
-                self.first.set()
-                self.contact.heard_table()
+                await self.follower.follow(0.0 if self.failed_reads else LONG_POLL_S)
+                self.failed_reads = 0
+                self._confirm(started_at)
+                self.first_read_done.set()
+                self.reachability.record_table_answer()
             except errors.TableUnavailable as exc:
                 if isinstance(exc, errors.TableRefused):
                     # This host is not cut off, and others fare no better.
-                    self.contact.heard_place()
-                self._tell_unread(began, exc)
-                await asyncio.sleep(PAUSE_S)
+                    self.reachability.record_remote_answer()
+                self._log_failed_read(started_at, exc)
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
-    def _tell_unread(self, began: float, exc: errors.TableUnavailable) -> None:
+    def _log_failed_read(self, started_at: float, exc: errors.TableUnavailable) -> None:
         """Log a reading without result; ever rarer where none has one."""
-        self.unread += 1
-        if self.unread & (self.unread - 1):
+        self.failed_reads += 1
+        if self.failed_reads & (self.failed_reads - 1):
             return
         emit(
             events.ConfigUnread(
                 held=self.follower.version,
-                in_a_row=self.unread,
-                after_s=round(self.clock.now() - began, 3),
+                in_a_row=self.failed_reads,
+                after_s=round(self.clock.now() - started_at, 3),
                 reason=str(exc),
             )
         )
 
-    def hear(self, version: int, *, asked_at: float, age_s: float) -> None:
+    def note_version(self, version: int, *, asked_at: float, age_s: float) -> None:
         """Note the version that another host holds.
 
         Args:
@@ -88,7 +88,7 @@
             asked_at: When that host was asked, on this host's clock.
             age_s: How long before its answer that was known to be the newest.
         """
-        self.follower.hear(version, self.clock.now())
+        self.follower.note_version(version, self.clock.now())
         if version and version == self.follower.version:
             self._confirm(asked_at - age_s)
 
@@ -98,7 +98,7 @@
 
     def age_s(self) -> float:
         """Return how long ago the configuration was known to be the newest."""
-        return min(FAR_S, self.clock.now() - self.confirmed_at)
+        return min(NEVER_S, self.clock.now() - self.confirmed_at)
 
     def late_s(self) -> float:
         """Return for how long a newer version than the one in force is known of."""
@@ -113,4 +113,6 @@
         owner that serves its callers has the newest.
         """
         limit_s = self.bound_s - LATE_MARGIN_S
-        return self.late_s() > limit_s and self.contact.table_age_s() < STORE_FRESH_S
+        return (
+            self.late_s() > limit_s and self.reachability.table_age_s() < TABLE_FRESH_S
+        )
--- a/cranberrycleat/workflow/suspicion.py
+++ b/cranberrycleat/workflow/crash_attribution.py
@@ -26,21 +26,21 @@
 
 import attrs
 
-SETTLED_S: Final = 0.3
+CRASH_WINDOW_S: Final = 0.3
 """An attempt whose worker is heard so long after its beginning does not crash it. What
 crashes it later ends at `MOST_LOST`; longer, more of what falls by chance is held
 against sound tasks."""
-CRASHES: Final = 3
+CRASH_ADDRESS_LIMIT: Final = 3
 """Addresses at which a task must have crashed its worker, the last in a trial. The
 platform allows two; the third keeps sound work that was beside it twice."""
-MOST_LOST: Final = 5
+LOST_WORKER_LIMIT: Final = 5
 """Workers that a task may lose for any reason. The platform forbids a sixth start of a
 task that crashes its workers."""
-LAST_ATTEMPTS: Final = 2
+ISOLATED_LAST_ATTEMPTS: Final = 2
 """Attempts before `MOST_LOST` that are trials, however the earlier ones were lost."""
-TRIAL_WAIT_S: Final = 3.0
+ISOLATION_WAIT_S: Final = 3.0
 """How long a trial waits for a worker where nothing has just begun."""
-SUCCESSOR_WAIT_S: Final = 1.0
+TAKEOVER_ISOLATION_WAIT_S: Final = 1.0
 """How long it waits after a takeover: the new owner has to see which workers are lost,
 and where owners change every few seconds the task must still begin."""
 
@@ -74,7 +74,7 @@
     lost: list[LostWorker] = attrs.field(factory=list)
     changed_at: float = 0.0
 
-    def note(self, loss: LostWorker, now: float) -> None:
+    def add_loss(self, loss: LostWorker, now: float) -> None:
         """Take in a loss; a gang that loses several workers at once loses one."""
         same = [each for each in self.lost if each.attempt == loss.attempt]
         if same and (same[0].early or not loss.early):
@@ -83,18 +83,18 @@
         self.lost.append(loss)
         self.changed_at = now
 
-    def inherit(self, now: float) -> None:
+    def record_takeover(self, now: float) -> None:
         """Note that another owner has taken over."""
-        self.changed_at = now - TRIAL_WAIT_S + SUCCESSOR_WAIT_S
+        self.changed_at = now - ISOLATION_WAIT_S + TAKEOVER_ISOLATION_WAIT_S
 
     def clear(self, worker: str) -> bool:
         """Take off a worker that answers again; return whether it was there."""
         left = [each for each in self.lost if each.worker != worker]
-        cleared = len(left) < len(self.lost)
+        removed = len(left) < len(self.lost)
         self.lost = left
-        return cleared
+        return removed
 
-    def settle(self, *, lasts: bool) -> bool:
+    def attempt_survived(self, *, lasts: bool) -> bool:
         """Note that an attempt has settled; return whether that changes anything.
 
         Args:
@@ -102,33 +102,38 @@
                 losses in its life that their number says nothing.
         """
         before = self.lost
-        settled = [attrs.evolve(each, early=False) for each in before]
-        self.lost = [] if lasts else settled
+        cleared = [attrs.evolve(each, early=False) for each in before]
+        self.lost = [] if lasts else cleared
         return self.lost != before
 
     def addresses(self) -> set[str]:
         """Return where its workers were lost."""
         return {each.address for each in self.lost if each.address}
 
-    def is_on_trial(self) -> bool:
+    def next_crash_is_final(self) -> bool:
         """Tell whether its next loss may be its last, so that it must be a trial."""
-        return self.crashes() >= CRASHES - 1
+        return self.crashes() >= CRASH_ADDRESS_LIMIT - 1
 
-    def is_isolated(self) -> bool:
+    def needs_isolation(self) -> bool:
         """Tell whether its next attempt is to begin where little else is at risk.
 
         While many workers are lost, a sound task that is tried again at once loses
         `MOST_LOST` of them within seconds. So the last attempts wait as trials do.
         """
-        return self.is_on_trial() or len(self.lost) >= MOST_LOST - LAST_ATTEMPTS
+        return (
+            self.next_crash_is_final()
+            or len(self.lost) >= LOST_WORKER_LIMIT - ISOLATED_LAST_ATTEMPTS
+        )
 
-    def may_go_anywhere(self, now: float) -> bool:
+    def isolation_wait_expired(self, now: float) -> bool:
         """Tell whether a trial has waited long enough for a quiet worker."""
-        return now - self.changed_at >= TRIAL_WAIT_S
+        return now - self.changed_at >= ISOLATION_WAIT_S
 
-    def is_enough(self) -> bool:
+    def limit_reached(self) -> bool:
         """Tell whether its task is to be given up."""
-        return self.crashes() >= CRASHES or len(self.lost) >= MOST_LOST
+        return (
+            self.crashes() >= CRASH_ADDRESS_LIMIT or len(self.lost) >= LOST_WORKER_LIMIT
+        )
 
     def crashes(self) -> int:
         """Return at how many addresses it seems to have crashed its worker."""
--- a/cranberrycleat/workflow/directory.py
+++ b/cranberrycleat/workflow/directory.py
@@ -17,24 +17,24 @@
     ClusterConfig,
     Feed,
     FeedTable,
-    FeedTooLong,
-    HistoryGone,
+    FeedTooLarge,
+    HistoryExpired,
     Queue,
     Snapshot,
     WorkerEntry,
 )
 from cranberrycleat.workflow.upkeep import Wave
 
-ONE_VERSION: Final = 1.5
+MAX_FEED_VERSIONS: Final = 1.5
 """What changes may take at most, in sizes of the version read last: two versions
 take more. A table hands on each version in full, so that a host which had missed
 some would read what nobody needs, and miss the more the longer its link takes."""
-SMALL_BYTES: Final = 65_536
+MIN_FEED_LIMIT_BYTES: Final = 65_536
 """What changes may take whatever was read last: 0.1 s on a link of 5 Mbit/s."""
 
 
 @attrs.define(kw_only=True, eq=False)
-class Directory:
+class WorkerDirectory:
     """The workers that the platform lists.
 
     Attributes:
@@ -49,7 +49,7 @@
     read: Callable[[Row], WorkerEntry]
     entries: dict[str, WorkerEntry] = attrs.field(factory=dict)
     _version: int = 0
-    _told: dict[str, int] = attrs.field(factory=dict)
+    _logged_versions: dict[str, int] = attrs.field(factory=dict)
 
     async def read_all(self) -> None:
         """Read the whole list; raises `errors.TableUnavailable`."""
@@ -57,7 +57,7 @@
         known = self.entries
         self.entries = {}
         for row in found.rows:
-            self._take(row, known)
+            self._apply_row(row, known)
         self._version = found.version
 
     async def refresh(self) -> bool:
@@ -70,19 +70,19 @@
             feed = await self.store.follow(
                 table=self.table, after=self._version, wait_s=0.0
             )
-        except HistoryGone:
+        except HistoryExpired:
             await self.read_all()
             return True
         for change in feed.changes:
             if change.row is None:
                 self.entries.pop(change.key.partition("/")[2], None)
-                self._told.pop(change.key, None)
+                self._logged_versions.pop(change.key, None)
             else:
-                self._take(change.row, self.entries)
+                self._apply_row(change.row, self.entries)
         self._version = max(self._version, feed.version)
         return bool(feed.changes)
 
-    def _take(self, row: Row, known: dict[str, WorkerEntry]) -> None:
+    def _apply_row(self, row: Row, known: dict[str, WorkerEntry]) -> None:
         """Take in a row; one that cannot be read names no worker to use.
 
         A worker that was known keeps its link, so that what runs there goes on
@@ -91,17 +91,17 @@
         try:
             entry = self.read(row)
         except errors.FindingsError as exc:
-            self._tell_once(row, str(exc))
+            self._log_unreadable_once(row, str(exc))
             worker = row.key.partition("/")[2]
             if worker in known:
                 self.entries[worker] = attrs.evolve(known[worker], readable=False)
             return
         self.entries[entry.worker] = entry
 
-    def _tell_once(self, row: Row, findings: str) -> None:
+    def _log_unreadable_once(self, row: Row, findings: str) -> None:
         """Log an unreadable row once for each change of it."""
-        if self._told.get(row.key) != row.version:
-            self._told[row.key] = row.version
+        if self._logged_versions.get(row.key) != row.version:
+            self._logged_versions[row.key] = row.version
             emit(events.RowUnreadable(findings=findings))
 
 
@@ -128,9 +128,9 @@
     current: ClusterConfig | None = None
     waves: dict[int, Wave] = attrs.field(factory=dict)
     readable: bool = True
-    _after: int | None = None
-    _size: int = 0
-    _heard: dict[int, float] = attrs.field(factory=dict)
+    _feed_version: int | None = None
+    _version_bytes: int = 0
+    _newer_versions: dict[int, float] = attrs.field(factory=dict)
 
     async def follow(self, wait_s: float) -> bool:
         """Wait for a change and take it in; return whether one came.
@@ -141,36 +141,37 @@
         Raises:
             TableUnavailable: The table gave no answer.
         """
-        if self._after is None:
+        if self._feed_version is None:
             found = await self.store.snapshot(table=self.table)
-            self._after = found.version
-            return self._take_all(found.rows, found)
+            self._feed_version = found.version
+            return self._apply_rows(found.rows, found)
         try:
             feed = await self.store.follow(
                 table=self.table,
-                after=self._after,
+                after=self._feed_version,
                 wait_s=wait_s,
-                most_bytes=round(ONE_VERSION * self._size) + SMALL_BYTES,
+                max_bytes=round(MAX_FEED_VERSIONS * self._version_bytes)
+                + MIN_FEED_LIMIT_BYTES,
             )
-        except (HistoryGone, FeedTooLong):
-            self._after = None
+        except (HistoryExpired, FeedTooLarge):
+            self._feed_version = None
             return await self.follow(wait_s)
-        self._after = max(self._after, feed.version)
+        self._feed_version = max(self._feed_version, feed.version)
         rows = tuple(change.row for change in feed.changes if change.row is not None)
-        return self._take_all(rows, feed)
+        return self._apply_rows(rows, feed)
 
-    def _take_all(self, rows: tuple[Row, ...], carried: Feed | Snapshot) -> bool:
+    def _apply_rows(self, rows: tuple[Row, ...], source: Feed | Snapshot) -> bool:
         """Take in the rows of an answer, of the configuration the newest alone."""
         for row in rows:
             if row.key != self.key:
-                self._take_wave(row)
+                self._apply_wave(row)
         versions = [row for row in rows if row.key == self.key]
         if not versions:
             return False
-        self._size = carried.size // len(versions)
-        return self._take(versions[-1], carried, len(versions))
+        self._version_bytes = source.size // len(versions)
+        return self._apply_row(versions[-1], source, len(versions))
 
-    def _take(self, row: Row, carried: Feed | Snapshot, versions: int) -> bool:
+    def _apply_row(self, row: Row, carried: Feed | Snapshot, versions: int) -> bool:
         try:
             config = self.read(row)
         except errors.FindingsError as exc:
@@ -178,7 +179,7 @@
             self.readable = False
             return False
         self.readable = True
-        if not self.take(config):
+        if not self.install(config):
             return False
         emit(
             events.ConfigTaken(
@@ -191,13 +192,15 @@
         )
         return True
 
-    def take(self, config: ClusterConfig) -> bool:
+    def install(self, config: ClusterConfig) -> bool:
         """Have a configuration in force unless a newer one is; tell whether it is."""
         if self.version >= config.version:
             return False
         self.current = config
-        self._heard = {
-            version: at for version, at in self._heard.items() if version > self.version
+        self._newer_versions = {
+            version: at
+            for version, at in self._newer_versions.items()
+            if version > self.version
         }
         return True
 
@@ -206,16 +209,16 @@
         """The version in force; 0 before the first."""
         return 0 if self.current is None else self.current.version
 
-    def hear(self, version: int, now: float) -> None:
+    def note_version(self, version: int, now: float) -> None:
         """Note that another host holds a version; the newest may be unread here."""
         if version > self.version:
-            self._heard.setdefault(version, now)
+            self._newer_versions.setdefault(version, now)
 
     def late_s(self, now: float) -> float:
         """Return for how long a newer version than the one in force is known of."""
-        return now - min(self._heard.values(), default=now)
+        return now - min(self._newer_versions.values(), default=now)
 
-    def _take_wave(self, row: Row) -> None:
+    def _apply_wave(self, row: Row) -> None:
         try:
             wave = self.read_wave(row)
         except errors.FindingsError as exc:
--- a/cranberrycleat/workflow/starts.py
+++ b/cranberrycleat/workflow/dispatcher.py
@@ -12,23 +12,23 @@
 import attrs
 
 from cranberrycleat.clock import Clock
-from cranberrycleat.lifecycle import Background
+from cranberrycleat.lifecycle import BackgroundTasks
 from cranberrycleat.workflow import options
-from cranberrycleat.workflow.board import Board
+from cranberrycleat.workflow.cluster_state import ClusterState
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 from cranberrycleat.workflow.links import WorkerLink
 from cranberrycleat.workflow.ordering import Urgency, rank
 from cranberrycleat.workflow.permit_queue import PermitQueue
-from cranberrycleat.workflow.planner import PermitWish, PlannedGroup, Planner
-from cranberrycleat.workflow.signal import Signal
+from cranberrycleat.workflow.planner import PermitQuery, PlannedGroup, Planner
+from cranberrycleat.workflow.repeating_event import RepeatingEvent
 from cranberrycleat.workflow.state import StepRun
 
-PERMIT_PAUSE_S: Final = 0.05
-PERMIT_TRIES: Final = 4
+PERMIT_RETRY_S: Final = 0.05
+PERMIT_ATTEMPTS: Final = 4
 
 
 @attrs.define(kw_only=True, eq=False)
-class Starts:
+class Dispatcher:
     """Plans rounds and carries their placements to the workers' links.
 
     Attributes:
@@ -44,67 +44,69 @@
         planner: Decides.
     """
 
-    board: Board
+    cluster_state: ClusterState
     permit_queue: PermitQueue
     links: dict[str, WorkerLink]
     clock: Clock
     changed: Callable[[], None]
-    stored: Signal
-    work: Background
+    stored: RepeatingEvent
+    work: BackgroundTasks
     plan_due: asyncio.Event
     spread_factor: float = 1.0
     planner: Planner = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.planner = Planner(board=self.board, spread_factor=self.spread_factor)
+        self.planner = Planner(
+            cluster_state=self.cluster_state, spread_factor=self.spread_factor
+        )
 
     def plan(self) -> None:
         now = self.clock.now()
-        plan = self.planner.plan(now=now, now_s=self.board.time_of_day())
-        for wish in plan.wishes:
-            self.work.spawn(self._ask_permits(wish))
+        plan = self.planner.plan(now=now, now_s=self.cluster_state.time_of_day())
+        for query in plan.permit_queries:
+            self.work.spawn(self._ask_permits(query))
         for group in plan.groups:
-            self.work.spawn(self._order(group))
+            self.work.spawn(self._dispatch(group))
         if plan.groups:
             self.changed()
         if plan.retry_at is not None:
             loop = asyncio.get_running_loop()
             loop.call_later(max(0.0, plan.retry_at - now), self.plan_due.set)
 
-    async def _ask_permits(self, wish: PermitWish) -> None:
-        permits = self.board.permits.get(wish.step.name)
+    async def _ask_permits(self, query: PermitQuery) -> None:
+        permits = self.cluster_state.permits.get(query.step.name)
         if permits is None:
             return
-        urgency = self._urgency(wish.step)
+        urgency = self._urgency(query.step)
         if not await self.permit_queue.ask(
-            wish.step.name, wish.workers, permits, urgency
+            query.step.name, query.workers, permits, urgency
         ):
-            await asyncio.sleep(options.TICK_S)
+            await asyncio.sleep(options.TASK_LOOP_INTERVAL_S)
         self.plan_due.set()
 
     def _urgency(self, step: StepRun) -> Urgency:
-        return rank(step, self.board.time_of_day()).key()
+        return rank(step, self.cluster_state.time_of_day()).key()
 
-    async def _order(self, group: PlannedGroup) -> None:
+    async def _dispatch(self, group: PlannedGroup) -> None:
         """Order the starts of a group once they are stored and permitted."""
-        left = group.placements
-        for _ in range(PERMIT_TRIES):
-            await self._until_stored(left)
-            left = [pair for pair in left if pair[0].counts(pair[1])]
-            await self._permit(group.step, left)
-            ready = [pair for pair in left if self._permitted(group.step, pair[1])]
-            if group.step.spec.gang and len(ready) < len(left):
+        pending = group.placements
+        for _ in range(PERMIT_ATTEMPTS):
+            await self._until_stored(pending)
+            pending = [pair for pair in pending if pair[0].counts(pair[1])]
+            await self._attach_permits(group.step, pending)
+            ready = [pair for pair in pending if self._has_permit(group.step, pair[1])]
+            if group.step.spec.gang and len(ready) < len(pending):
                 ready = []
             self._send(ready)
-            left = [pair for pair in left if pair not in ready]
-            if not left:
+            pending = [pair for pair in pending if pair not in ready]
+            if not pending:
                 return
-            await asyncio.sleep(PERMIT_PAUSE_S)
-        for worker, placement in left:
-            self.board.give_up(worker, placement, "no permits")
+            await asyncio.sleep(PERMIT_RETRY_S)
+        for worker, placement in pending:
+            self.cluster_state.give_up(worker, placement, "no permits")
         self.changed()
 
-    async def _until_stored(self, left: list[tuple[FleetWorker, Placement]]) -> None:
+    async def _until_stored(self, pending: list[tuple[FleetWorker, Placement]]) -> None:
         """Wait until all that still counts is stored.
 
         What is given up first, with its worker, will never be; the rest of its
@@ -112,14 +114,14 @@
         """
         while any(
             worker.counts(placement) and not placement.stored
-            for worker, placement in left
+            for worker, placement in pending
         ):
             await self.stored.wait()
 
     @staticmethod
-    def _permitted(step: StepRun, placement: Placement) -> bool:
-        needless = step.job.queue.permits is None
-        return needless or bool(placement.permit) or placement.stopping
+    def _has_permit(step: StepRun, placement: Placement) -> bool:
+        not_required = step.job.queue.permits is None
+        return not_required or bool(placement.permit) or placement.stopping
 
     def _send(self, ready: list[tuple[FleetWorker, Placement]]) -> None:
         for worker, placement in ready:
@@ -127,17 +129,17 @@
             if link is not None:
                 self.work.spawn(link.start(placement))
 
-    async def _permit(
-        self, step: StepRun, left: list[tuple[FleetWorker, Placement]]
+    async def _attach_permits(
+        self, step: StepRun, pending: list[tuple[FleetWorker, Placement]]
     ) -> None:
         """Give every placement a permit that is valid now, as far as possible."""
-        permits = self.board.permits.get(step.name)
+        permits = self.cluster_state.permits.get(step.name)
         if step.job.queue.permits is None or permits is None:
             return
         now = self.clock.now()
-        stale = permits.to_renew({worker.name for worker, _ in left}, now)
+        stale = permits.workers_to_renew({worker.name for worker, _ in pending}, now)
         if stale:
             await self.permit_queue.ask(step.name, stale, permits, self._urgency(step))
             now = self.clock.now()
-        for worker, placement in left:
-            placement.permit = permits.valid(worker.name, now)
+        for worker, placement in pending:
+            placement.permit = permits.valid_ticket(worker.name, now)
--- a/cranberrycleat/workflow/evacuation.py
+++ b/cranberrycleat/workflow/evacuation.py
@@ -10,20 +10,20 @@
 
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 
-LEAST_LEFT_S: Final = 2.0
+MIN_LEAVE_NOTICE_S: Final = 2.0
 """Counted as left where a leaving worker does not say: the shortest time that
 the platform promises between the notice and the end."""
-MARGIN: Final = 1.2
+RUNTIME_ESTIMATE_MARGIN: Final = 1.2
 """Run times are known from progress, which is rough."""
 
 
-def to_stop(worker: FleetWorker, now: float) -> list[Placement]:
+def placements_to_stop(worker: FleetWorker, now: float) -> list[Placement]:
     """Return the attempts that are to leave a leaving worker now."""
     if not worker.entry.leaving:
         return []
     left_s = worker.entry.leaves_in_s
     if left_s is None:
-        left_s = LEAST_LEFT_S
+        left_s = MIN_LEAVE_NOTICE_S
     return [
         each
         for each in worker.placements.values()
@@ -32,18 +32,21 @@
 
 
 def _must_move(placement: Placement, left_s: float, now: float) -> bool:
-    task = placement.subject
+    task = placement.tracked_task
     if task is None or not placement.is_current:
         return False
     spec = task.step.spec
     if spec.service:
         return True
-    return spec.checkpoints and remaining_s(placement, now) * MARGIN > left_s
+    return (
+        spec.checkpoints
+        and remaining_runtime_s(placement, now) * RUNTIME_ESTIMATE_MARGIN > left_s
+    )
 
 
-def remaining_s(placement: Placement, now: float) -> float:
+def remaining_runtime_s(placement: Placement, now: float) -> float:
     """Return how long an attempt still runs, by its progress or its estimate."""
-    task = placement.subject
+    task = placement.tracked_task
     assert task is not None
     ran_s = placement.ran_s(now)
     if placement.percent > 0:
--- a/cranberrycleat/workflow/feasibility.py
+++ b/cranberrycleat/workflow/feasibility.py
@@ -9,49 +9,49 @@
 from typing import Final
 
 from cranberrycleat.amounts import Amounts
-from cranberrycleat.workflow.fleet import FleetWorker, counted, seats
-from cranberrycleat.workflow.locality import could_hold
-from cranberrycleat.workflow.quota import left_of
+from cranberrycleat.workflow.fleet import FleetWorker, max_tasks_on, reserved_resources
+from cranberrycleat.workflow.locality import could_hold_gang
+from cranberrycleat.workflow.quota import remaining_quota
 from cranberrycleat.workflow.spec import StepSpec, WorkflowSpec
 
-RETRY_S: Final = 10.0
+RETRY_AFTER_S: Final = 10.0
 """When to come back: the platform adds workers over seconds, not at once."""
-SETTLING_RETRY_S: Final = 1.0
+SETTLING_RETRY_AFTER_S: Final = 1.0
 """The same while the list of workers may not be whole: after a takeover, and after an
 outage of the table, in which entries lapse."""
 
 
-def why_hopeless(spec: WorkflowSpec, workers: list[FleetWorker]) -> str:
+def infeasibility_reason(spec: WorkflowSpec, workers: list[FleetWorker]) -> str:
     """Return why a job can never run on these workers, or nothing."""
     if not workers:
         return ""
     for number, step in enumerate(spec.steps):
-        reason = _why_step(step, workers)
+        reason = _step_infeasibility_reason(step, workers)
         if reason:
             return f"step {number}: {reason}"
     return ""
 
 
-def why_over(spec: WorkflowSpec, quota: Amounts | None) -> str:
+def quota_violation_reason(spec: WorkflowSpec, quota: Amounts | None) -> str:
     """Return why a job can never run within its workspace's quota, or nothing."""
     if quota is None:
         return ""
     for number, step in enumerate(spec.steps):
-        together = counted(step).times(step.count if step.gang else 1)
-        if not together.fits_in(left_of(quota)):
+        total_needs = reserved_resources(step).times(step.count if step.gang else 1)
+        if not total_needs.fits_in(remaining_quota(quota)):
             what = "the gang" if step.gang else "a task"
             return f"step {number}: {what} takes more than the workspace's quota"
     return ""
 
 
-def _why_step(step: StepSpec, workers: list[FleetWorker]) -> str:
+def _step_infeasibility_reason(step: StepSpec, workers: list[FleetWorker]) -> str:
     labelled = [
         each for each in workers if not step.label or step.label in each.entry.labels
     ]
     if not labelled:
         return f"no worker has the label {step.label!r}"
-    if not any(seats(step, each.most) for each in labelled):
+    if not any(max_tasks_on(step, each.max_capacity) for each in labelled):
         return "no worker has that much"
-    if step.gang and not could_hold(step, labelled):
+    if step.gang and not could_hold_gang(step, labelled):
         return "all workers together cannot hold the gang"
     return ""
--- a/cranberrycleat/workflow/serving.py
+++ b/cranberrycleat/workflow/filler_throttling.py
@@ -13,16 +13,16 @@
 
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 
-NEAR: Final = 0.85
+SLOWDOWN_THRESHOLD: Final = 0.85
 """Share of the limit from which fillers are slowed: readings are rough, and an
 order shows after 0.1 s and one reading of 0.5 s."""
-CALM: Final = 0.6
+RECOVERY_THRESHOLD: Final = 0.6
 """Share of the limit below which fillers may come back."""
-STEP: Final = 20
+RECOVERY_STEP_PERCENT: Final = 20
 """Percent by which they come back."""
-STEP_S: Final = 1.5
+RECOVERY_INTERVAL_S: Final = 1.5
 """Time between two steps: three readings of half a second."""
-FULL: Final = 100
+FULL_SPEED_PERCENT: Final = 100
 
 
 @attrs.frozen(kw_only=True)
@@ -35,19 +35,19 @@
 
 def serves(placement: Placement) -> bool:
     """Tell whether an attempt serves users within a limit."""
-    task = placement.subject
+    task = placement.tracked_task
     return task is not None and task.step.spec.tail_limit_ms > 0
 
 
-def lasts(placement: Placement) -> bool:
+def runs_until_cancelled(placement: Placement) -> bool:
     """Tell whether an attempt runs until its job is cancelled."""
-    task = placement.subject
+    task = placement.tracked_task
     return task is not None and task.step.spec.service
 
 
 def fills(placement: Placement) -> bool:
     """Tell whether an attempt is a filler."""
-    task = placement.subject
+    task = placement.tracked_task
     return task is not None and task.step.spec.filler
 
 
@@ -55,7 +55,7 @@
     """Return the worst reading of a serving task as a share of its limit."""
     shares = [0.0]
     for placement in worker.placements.values():
-        task = placement.subject
+        task = placement.tracked_task
         if task is None or not serves(placement) or placement.reading is None:
             continue
         shares.append(placement.reading / task.step.spec.tail_limit_ms)
@@ -66,9 +66,9 @@
     """Return the orders that a worker's newest readings ask for."""
     fillers = [each for each in worker.placements.values() if fills(each)]
     if not fillers or not any(map(serves, worker.placements.values())):
-        worker.filler_percent = FULL
+        worker.filler_percent = FULL_SPEED_PERCENT
     else:
-        _adjust(worker, pressure(worker), now)
+        _adjust_filler_percent(worker, pressure(worker), now)
     return [
         ThrottleOrder(placement=each, percent=worker.filler_percent)
         for each in fillers
@@ -76,13 +76,18 @@
     ]
 
 
-def _adjust(worker: FleetWorker, share: float, now: float) -> None:
+def _adjust_filler_percent(worker: FleetWorker, share: float, now: float) -> None:
     if share >= 1.0:
         worker.filler_percent = 0
         worker.filler_changed_at = now
-    elif share >= NEAR:
+    elif share >= SLOWDOWN_THRESHOLD:
         worker.filler_percent //= 2
         worker.filler_changed_at = now
-    elif share < CALM and now - worker.filler_changed_at >= STEP_S:
-        worker.filler_percent = min(FULL, worker.filler_percent + STEP)
+    elif (
+        share < RECOVERY_THRESHOLD
+        and now - worker.filler_changed_at >= RECOVERY_INTERVAL_S
+    ):
+        worker.filler_percent = min(
+            FULL_SPEED_PERCENT, worker.filler_percent + RECOVERY_STEP_PERCENT
+        )
         worker.filler_changed_at = now
--- a/cranberrycleat/workflow/fleet.py
+++ b/cranberrycleat/workflow/fleet.py
@@ -12,24 +12,28 @@
 import attrs
 
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.workflow.falls import Fall, Falls, SimultaneousFalls
+from cranberrycleat.workflow.crash_attribution import CRASH_WINDOW_S
 from cranberrycleat.workflow.ports import RunningTask, WorkerEntry
 from cranberrycleat.workflow.spec import StepSpec
 from cranberrycleat.workflow.state import Task
-from cranberrycleat.workflow.suspicion import SETTLED_S
+from cranberrycleat.workflow.worker_failures import (
+    CorrelatedFailures,
+    WorkerFailure,
+    WorkerFailures,
+)
 
-FAILURES_TO_REST: Final = 3
+QUARANTINE_AFTER: Final = 3
 """Failures in a row, of several jobs, before a worker draws no more work: three
 of three at a failure rate of 2% by jobs' own fault is one in 100,000."""
-UNBOUNDED: Final = 1000
+MAX_ZERO_NEED_TASKS: Final = 1000
 """How many tasks that need nothing a worker is given."""
-FIRST_REST_S: Final = 2.0
-LONGEST_REST_S: Final = 8.0
+INITIAL_QUARANTINE_S: Final = 2.0
+MAX_QUARANTINE_S: Final = 8.0
 """A failing worker is tried again after 2 s, then 4 s, then 8 s: disturbances
 last 3 to 10 s on the platform's standard days."""
 
 
-def counted(step: StepSpec) -> Amounts:
+def reserved_resources(step: StepSpec) -> Amounts:
     """Return what a task of a step is counted with on its worker.
 
     A filler takes only processors that others leave, so that it counts with none.
@@ -39,7 +43,7 @@
     return step.needs
 
 
-def times(needs: Amounts, room: Amounts) -> int:
+def how_many_fit(needs: Amounts, room: Amounts) -> int:
     """Return how often the needs fit into the room."""
     counts = [
         have // need
@@ -50,16 +54,16 @@
         )
         if need > 0
     ]
-    return max(0, min(counts, default=UNBOUNDED))
+    return max(0, min(counts, default=MAX_ZERO_NEED_TASKS))
 
 
-def seats(step: StepSpec, capacity: Amounts) -> int:
+def max_tasks_on(step: StepSpec, capacity: Amounts) -> int:
     """Return how many of a step's tasks an empty worker of a capacity may hold."""
-    most = step.most_per_worker or step.count
-    return min(most, times(counted(step), capacity))
+    max_tasks = step.most_per_worker or step.count
+    return min(max_tasks, how_many_fit(reserved_resources(step), capacity))
 
 
-class Standing(enum.Enum):
+class Liveness(enum.Enum):
     """Whether a worker may draw work."""
 
     JOINING = "joining"
@@ -69,13 +73,13 @@
     GONE = "gone"
 
 
-GANG_DOUBT_S: Final = 1.0
+GANG_SILENCE_LIMIT_S: Final = 1.0
 """How long a worker must be silent before the gangs that wait for a member there are
 stopped elsewhere: longer than a list that came to nothing once, and well under the 3 s
 after which members give up by themselves."""
 
 
-class Loss(enum.Enum):
+class LossCause(enum.Enum):
     """How a worker's life was proved to be over, or all that ran there."""
 
     REPLACED = "another life answers at its worker's address"
@@ -112,7 +116,7 @@
     task: str
     attempt: int
     needs: Amounts
-    subject: Task | None
+    tracked_task: Task | None
     program: str = ""
     saved: str = ""
     planned_at: float = 0.0
@@ -140,7 +144,7 @@
         self.stopping = True
         self.stop_reason = reason
 
-    def heard(self, run: RunningTask, now: float) -> None:
+    def apply_report(self, run: RunningTask, now: float) -> None:
         """Take in what the worker's list says of it."""
         if not self.running:
             self.began(now)
@@ -159,19 +163,19 @@
     @property
     def is_current(self) -> bool:
         """Whether its task still stands placed with this attempt."""
-        task = self.subject
+        task = self.tracked_task
         return task is not None and task.attempt == self.attempt and bool(task.worker)
 
 
-def adopted(
-    task: str, attempt: int, needs: Amounts, subject: Task | None, now: float
+def adopted_placement(
+    task: str, attempt: int, needs: Amounts, tracked_task: Task | None, now: float
 ) -> Placement:
     """Return an attempt that an earlier owner stored: it may run."""
     return Placement(
         task=task,
         attempt=attempt,
         needs=needs,
-        subject=subject,
+        tracked_task=tracked_task,
         planned_at=now,
         stored=True,
         ordered=True,
@@ -181,7 +185,7 @@
     )
 
 
-Key = tuple[str, int]
+AttemptKey = tuple[str, int]
 """A task's name and the number of an attempt."""
 
 
@@ -231,117 +235,123 @@
     """
 
     entry: WorkerEntry
-    standing: Standing = Standing.JOINING
-    placements: dict[Key, Placement] = attrs.field(factory=dict)
+    liveness: Liveness = Liveness.JOINING
+    placements: dict[AttemptKey, Placement] = attrs.field(factory=dict)
     used: Amounts = NOTHING
     free: Amounts = NOTHING
-    most: Amounts = NOTHING
+    max_capacity: Amounts = NOTHING
     worker_time_ms: int = 0
-    clock_at: float = 0.0
-    leases_over_at: float = 0.0
+    clock_read_at: float = 0.0
+    leases_end_at: float = 0.0
     ended_upto: int = 0
     heard_upto: int = 0
-    heard_ends: "collections.deque[tuple[int, str]]" = attrs.field(
+    unstored_ends: "collections.deque[tuple[int, str]]" = attrs.field(
         factory=collections.deque
     )
     listed: bool = True
     missing_since: float | None = None
-    doubted: bool = False
+    unresponsive: bool = False
     held: bool = False
     unsized: int = 0
     filler_percent: int = 100
     filler_changed_at: float = float("-inf")
     failures: int = 0
     failed_jobs: set[str] = attrs.field(factory=set)
-    rests_until: float = 0.0
+    quarantined_until: float = 0.0
     rest_s: float = 0.0
-    probing: bool = False
-    trial: Placement | None = None
+    is_probed: bool = False
+    isolated_attempt: Placement | None = None
     generation: int = 0
-    known_since: float = 0.0
+    added_at: float = 0.0
     joined_at: float = float("-inf")
-    before: "FleetWorker | None" = None
+    previous: "FleetWorker | None" = None
 
     def __attrs_post_init__(self) -> None:
         self.free = self.entry.capacity
-        self.most = self.entry.capacity
+        self.max_capacity = self.entry.capacity
 
     @property
     def name(self) -> str:
         """The name of this incarnation of it."""
         return self.entry.incarnation
 
-    def outlive(self, when: float) -> None:
+    def extend_leases_until(self, when: float) -> None:
         """Count every lease as granted until a time at least."""
-        self.leases_over_at = max(self.leases_over_at, when)
+        self.leases_end_at = max(self.leases_end_at, when)
 
-    def may_draw(self, now: float) -> bool:
+    def may_accept_work(self, now: float) -> bool:
         """Tell whether it may be given work."""
-        return self.obstacle(now) is None
+        return self.unavailable_reason(now) is None
 
-    def obstacle(self, now: float) -> str | None:
+    def unavailable_reason(self, now: float) -> str | None:
         """Return why it is given no work, for people; None where it may be."""
-        if self.standing is not Standing.LIVE:
-            return str(self.standing.value)
+        if self.liveness is not Liveness.LIVE:
+            return str(self.liveness.value)
         if not self.listed:
             return "unlisted"
         if not self.entry.readable:
             return "unreadable"
         if self.entry.leaving:
             return "leaving"
-        if self.doubted:
+        if self.unresponsive:
             return "left an order unanswered"
         if self.held:
             return "held for upkeep"
         if self.has_unsized():
             return "runs what nobody knows"
-        if now < self.rests_until:
+        if now < self.quarantined_until:
             return "rests after failures"
-        if self.is_probed():
+        if self.has_running_probe():
             return "probed after failures"
-        return "tries a suspected task" if self.has_trial() else None
+        return "tries a suspected task" if self.has_isolated_attempt() else None
 
-    def is_probed(self) -> bool:
+    def has_running_probe(self) -> bool:
         """Tell whether a task was begun there after its rest and has not ended.
 
         What runs there from before tells nothing new, and a service never ends.
         """
-        if not self.probing:
+        if not self.is_probed:
             return False
         return any(
-            each.planned_at >= self.rests_until for each in self.placements.values()
+            each.planned_at >= self.quarantined_until
+            for each in self.placements.values()
         )
 
-    def has_trial(self) -> bool:
+    def has_isolated_attempt(self) -> bool:
         """Tell whether a task is tried there that may crash its workers.
 
         Nothing else begins there meanwhile: it would be lost with it, and nobody
         could tell which of the two it was.
         """
-        trial = self.trial
-        if trial is None or not self.counts(trial):
+        isolated_attempt = self.isolated_attempt
+        if isolated_attempt is None or not self.counts(isolated_attempt):
             return False
-        return not self.has_settled(trial)
+        return not self.outlived_crash_window(isolated_attempt)
 
-    def has_settled(self, placement: Placement) -> bool:
+    def outlived_crash_window(self, placement: Placement) -> bool:
         """Tell whether an attempt has run long enough not to crash its worker."""
-        return self.survived_s(placement) >= SETTLED_S
+        return self.survived_s(placement) >= CRASH_WINDOW_S
 
-    def is_quiet(self) -> bool:
+    def has_no_recent_starts(self) -> bool:
         """Tell whether nothing has just begun there."""
-        return all(map(self.has_settled, self.placements.values()))
+        return all(map(self.outlived_crash_window, self.placements.values()))
 
-    def may_begin(self) -> bool:
+    def may_start(self) -> bool:
         """Tell whether what was placed there may still be ordered to start.
 
         Between placing and ordering lie a transaction and at times a permit:
         time enough for a worker to fall silent, to shrink, or to say that it leaves.
         """
-        trusted = self.standing is Standing.LIVE and not self.doubted
+        responsive = self.liveness is Liveness.LIVE and not self.unresponsive
         away = self.entry.leaving or self.held or not self.entry.readable
-        return trusted and not away and not self.has_unsized() and not self.is_over()
+        return (
+            responsive
+            and not away
+            and not self.has_unsized()
+            and not self.is_overcommitted()
+        )
 
-    def is_over(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Tell whether more is placed there than it has: it may have shrunk."""
         return not NOTHING.fits_in(self.free)
 
@@ -353,7 +363,7 @@
         """Return how long after an attempt began this worker was heard last."""
         if not placement.running:
             return 0.0
-        return max(0.0, self.clock_at - placement.running_since)
+        return max(0.0, self.clock_read_at - placement.running_since)
 
     def counts(self, placement: Placement) -> bool:
         """Tell whether an attempt still counts here."""
@@ -374,60 +384,60 @@
         self.used = self.used.minus(placement.needs)
         self.free = self.entry.capacity.minus(self.used)
 
-    def hear_end(self, number: int, job_id: str) -> None:
+    def record_end(self, number: int, job_id: str) -> None:
         """Note an end that was taken in."""
         self.heard_upto = max(self.heard_upto, number)
-        self.heard_ends.append((number, job_id))
+        self.unstored_ends.append((number, job_id))
 
     def acknowledge(self, number: int) -> None:
         """Note that every end up to a number was stored."""
         self.ended_upto = max(self.ended_upto, number)
-        while self.heard_ends and self.heard_ends[0][0] <= number:
-            self.heard_ends.popleft()
+        while self.unstored_ends and self.unstored_ends[0][0] <= number:
+            self.unstored_ends.popleft()
 
     def update(self, entry: WorkerEntry) -> None:
         """Take in a newer entry of the same life."""
         self.entry = entry
-        self.most = self.most.larger(entry.capacity)
+        self.max_capacity = self.max_capacity.elementwise_max(entry.capacity)
         self.free = entry.capacity.minus(self.used)
 
-    def heard_time(self, worker_time_ms: int, now: float) -> None:
+    def update_clock(self, worker_time_ms: int, now: float) -> None:
         """Note the worker's clock, as an answer told it."""
         if worker_time_ms >= self.worker_time_ms:
             self.worker_time_ms = worker_time_ms
-            self.clock_at = now
-            self.doubted = False
+            self.clock_read_at = now
+            self.unresponsive = False
 
     def grant(self, lease_s: float, now: float, clock_error: float) -> int:
         """Return a lease's end on the worker's clock, and count it as granted."""
-        since = now - self.clock_at
+        since = now - self.clock_read_at
         end_ms = self.worker_time_ms + round((since + lease_s) * 1000)
         longest = (since + lease_s) / (1 - clock_error)
-        self.leases_over_at = max(self.leases_over_at, self.clock_at + longest)
+        self.leases_end_at = max(self.leases_end_at, self.clock_read_at + longest)
         return end_ms
 
-    def note_failure(self, job_id: str, now: float) -> bool:
+    def record_attempt_failure(self, job_id: str, now: float) -> bool:
         """Note a failed attempt; return whether the worker rests now."""
         self.failures += 1
         self.failed_jobs.add(job_id)
-        enough = self.failures >= FAILURES_TO_REST and len(self.failed_jobs) > 1
-        if not (enough or self.probing):
+        enough = self.failures >= QUARANTINE_AFTER and len(self.failed_jobs) > 1
+        if not (enough or self.is_probed):
             return False
-        self.rest(now)
+        self.quarantine(now)
         return True
 
-    def rest(self, now: float) -> None:
+    def quarantine(self, now: float) -> None:
         """Draw nothing for a while, each time longer; then be tried."""
-        self.rest_s = min(LONGEST_REST_S, self.rest_s * 2 or FIRST_REST_S)
-        self.rests_until = now + self.rest_s
-        self.probing = True
+        self.rest_s = min(MAX_QUARANTINE_S, self.rest_s * 2 or INITIAL_QUARANTINE_S)
+        self.quarantined_until = now + self.rest_s
+        self.is_probed = True
 
-    def note_success(self) -> None:
+    def record_attempt_success(self) -> None:
         """Note an attempt that ended as done."""
         self.failures = 0
         self.failed_jobs.clear()
         self.rest_s = 0.0
-        self.probing = False
+        self.is_probed = False
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -445,7 +455,7 @@
     workers: dict[str, FleetWorker] = attrs.field(factory=dict)
     generation: int = 0
     newest: dict[str, FleetWorker] = attrs.field(factory=dict)
-    falls: Falls = attrs.field(factory=Falls)
+    worker_failures: WorkerFailures = attrs.field(factory=WorkerFailures)
 
     def add(self, worker: FleetWorker) -> None:
         """Take in an incarnation, the newest of its worker."""
@@ -453,14 +463,14 @@
         self.workers[worker.name] = worker
         self.newest[worker.entry.worker] = worker
 
-    def succeed(
-        self, before: FleetWorker, entry: WorkerEntry, now: float
+    def replace_incarnation(
+        self, previous: FleetWorker, entry: WorkerEntry, now: float
     ) -> FleetWorker:
         """Take in the incarnation after another one; return it."""
-        before.standing = Standing.RESTARTED
-        before.listed = False
+        previous.liveness = Liveness.RESTARTED
+        previous.listed = False
         self.generation += 1
-        after = FleetWorker(entry=entry, before=before, known_since=now)
+        after = FleetWorker(entry=entry, previous=previous, added_at=now)
         self.add(after)
         return after
 
@@ -470,50 +480,50 @@
         if self.newest.get(worker.entry.worker) is worker:
             del self.newest[worker.entry.worker]
 
-    def note_fall(self, worker: FleetWorker, now: float) -> None:
+    def record_worker_failure(self, worker: FleetWorker, now: float) -> None:
         """Note that a worker was found silent, or replaced."""
         jobs = {
             job_of(key[0])
             for key, each in worker.placements.items()
-            if not worker.has_settled(each)
+            if not worker.outlived_crash_window(each)
         }
-        fall = Fall(
-            heard_at=worker.clock_at,
-            noticed_at=now,
+        failure = WorkerFailure(
+            last_heard_at=worker.clock_read_at,
+            detected_at=now,
             jobs=frozenset(jobs),
             racks=frozenset(worker.entry.racks),
         )
-        self.falls.note(worker.entry, fall)
+        self.worker_failures.record_failure(worker.entry, failure)
 
     def silent_s(self, worker: FleetWorker, now: float) -> float:
         """Return for how long a worker that does not answer has been known not to."""
-        fall = self.falls.seen.get(worker.entry.address)
-        away = worker.standing in (Standing.SILENT, Standing.RESTARTED)
-        if fall is None or not away:
+        failure = self.worker_failures.by_address.get(worker.entry.address)
+        away = worker.liveness in (Liveness.SILENT, Liveness.RESTARTED)
+        if failure is None or not away:
             return 0.0
-        return now - fall.noticed_at
+        return now - failure.detected_at
 
-    def fell_alone(self, worker: FleetWorker, job_id: str) -> bool:
+    def failed_without_other_starts(self, worker: FleetWorker, job_id: str) -> bool:
         """Tell whether nothing of other jobs had just begun where a worker fell."""
-        fall = self.falls.seen.get(worker.entry.address)
-        return fall is None or fall.jobs <= {job_id}
+        failure = self.worker_failures.by_address.get(worker.entry.address)
+        return failure is None or failure.jobs <= {job_id}
 
-    def falls_with(self, worker: FleetWorker) -> SimultaneousFalls:
+    def failures_correlated_with(self, worker: FleetWorker) -> CorrelatedFailures:
         """Return the falls that may have the same cause as a worker's."""
         racks = set(worker.entry.racks)
         own = worker.entry.address
-        mates = {
+        rack_addresses = {
             each.entry.address
             for each in self.workers.values()
             if each.entry.address != own and not racks.isdisjoint(each.entry.racks)
         }
-        return self.falls.together_with(own, mates)
+        return self.worker_failures.correlated_with(own, rack_addresses)
 
-    def of_pool(self, pool: str) -> list[FleetWorker]:
+    def workers_in_pool(self, pool: str) -> list[FleetWorker]:
         """Return the workers of one pool."""
         return [each for each in self.workers.values() if each.entry.pool == pool]
 
 
-def listed_attempts(running: tuple[RunningTask, ...]) -> dict[Key, RunningTask]:
+def attempts_by_key(running: tuple[RunningTask, ...]) -> dict[AttemptKey, RunningTask]:
     """Return a worker's list by task and attempt."""
     return {(each.task, each.attempt): each for each in running}
--- a/cranberrycleat/workflow/inbox.py
+++ b/cranberrycleat/workflow/inbox.py
@@ -17,10 +17,10 @@
 from cranberrycleat.logs import emit, part_logger
 from cranberrycleat.table import Row, Transaction
 from cranberrycleat.workflow import options, rows
-from cranberrycleat.workflow.board import Board
+from cranberrycleat.workflow.cluster_state import ClusterState
 from cranberrycleat.workflow.ports import FeedTable
 
-AGAIN_S: Final = 0.1
+RESCAN_INTERVAL_S: Final = 0.1
 """The pause after a look that found jobs. Where owners change, doors leave jobs
 before they know whom to tell; the next owner finds the first, and others follow."""
 
@@ -38,62 +38,68 @@
         due: Set when a door has left a job.
     """
 
-    board: Board
+    cluster_state: ClusterState
     store: FeedTable
     changed: Callable[[], None]
-    due: asyncio.Event = attrs.field(factory=asyncio.Event)
+    scan_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def run(self) -> None:
         """Look when told, and now and then."""
         while True:
             try:
-                found = await self._look()
+                found = await self._scan()
             except errors.TableUnavailable as exc:
                 LOG.debug("The inbox was not read: %s", exc)
-                await asyncio.sleep(options.INBOX_S)
+                await asyncio.sleep(options.INBOX_POLL_INTERVAL_S)
                 continue
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(AGAIN_S if found else options.INBOX_S):
-                    await self.due.wait()
-            self.due.clear()
+                async with asyncio.timeout(
+                    RESCAN_INTERVAL_S if found else options.INBOX_POLL_INTERVAL_S
+                ):
+                    await self.scan_requested.wait()
+            self.scan_requested.clear()
 
-    async def _look(self) -> bool:
+    async def _scan(self) -> bool:
         """Take in what is new; return whether anything was."""
-        await self._clear()
+        await self._delete_stored()
         found = await self.store.scan(prefix=f"{rows.INBOX}/")
-        known = self.board.inbox
-        fresh = [row for row in found if row.key.partition("/")[2] not in known]
-        if fresh:
-            self.take(tuple(fresh))
+        known = self.cluster_state.inbox
+        new_rows = [row for row in found if row.key.partition("/")[2] not in known]
+        if new_rows:
+            self.accept_rows(tuple(new_rows))
             self.changed()
-        return bool(fresh)
+        return bool(new_rows)
 
-    async def _clear(self) -> None:
+    async def _delete_stored(self) -> None:
         """Remove the rows of jobs that have been stored as jobs."""
-        stored = [each for each in self.board.inbox if each in self.board.shown]
+        stored = [
+            each
+            for each in self.cluster_state.inbox
+            if each in self.cluster_state.reported
+        ]
         if not stored:
             return
-        taken = stored[: options.FORGET_AT_ONCE]
-        deletes = tuple(rows.inbox_key(job_id) for job_id in taken)
+        batch = stored[: options.MAX_DELETES_PER_BATCH]
+        deletes = tuple(rows.inbox_key(job_id) for job_id in batch)
         await self.store.commit(Transaction(deletes=deletes))
-        self.board.inbox.difference_update(taken)
+        self.cluster_state.inbox.difference_update(batch)
 
-    def take(self, found: tuple[Row, ...]) -> None:
+    def accept_rows(self, found: tuple[Row, ...]) -> None:
         """Take in jobs; a row that cannot be read is logged with its place."""
         for row in found:
             job_id = row.key.partition("/")[2]
             try:
-                kept = codec.decode(row.value, rows.SpecRow, place=row.key)
+                spec_row = codec.decode(row.value, rows.SpecRow, place=row.key)
             except errors.FindingsError as exc:
                 emit(events.RowUnreadable(findings=str(exc)))
                 continue
-            job = self.board.accept(
+            job = self.cluster_state.accept(
                 job_id,
-                kept.queue,
-                kept.spec,
-                accepted_s=kept.accepted_s,
-                workspace=kept.workspace,
+                spec_row.queue,
+                spec_row.spec,
+                accepted_s=spec_row.accepted_s,
+                workspace=spec_row.workspace,
             )
-            self.board.inbox.add(job_id)
-            self.board.dirty[job_id] = job
+            self.cluster_state.inbox.add(job_id)
+            self.cluster_state.dirty[job_id] = job
             emit(events.JobFound(job=job_id))
--- a/cranberrycleat/workflow/incarnations.py
+++ b/cranberrycleat/workflow/incarnations.py
@@ -14,17 +14,20 @@
 
 from cranberrycleat import events
 from cranberrycleat.logs import emit
-from cranberrycleat.workflow.board import MOST_ENDS, Board
-from cranberrycleat.workflow.fleet import FleetWorker, Key, Loss, Standing
+from cranberrycleat.workflow.cluster_state import MAX_ENDS_PER_SYNC, ClusterState
+from cranberrycleat.workflow.fleet import AttemptKey, FleetWorker, Liveness, LossCause
 from cranberrycleat.workflow.ports import SyncReply, WorkerEntry
 
-ORDERS_LATE_S: Final = 30.0
+LATE_ORDER_WINDOW_S: Final = 30.0
 """How long after a worker's start an order to the incarnation before may still have
 reached it, by clocks that differ by seconds."""
 
 
-def succeed(
-    board: Board, before: FleetWorker, entry: WorkerEntry, leases_over_at: float
+def replace_incarnation(
+    cluster_state: ClusterState,
+    previous: FleetWorker,
+    entry: WorkerEntry,
+    leases_end_at: float,
 ) -> FleetWorker:
     """Take in the next incarnation of a worker; return it.
 
@@ -35,22 +38,24 @@
         leases_over_at: Until when any order to the last one may keep something running
             in the next: its leases are counted on another clock there.
     """
-    if before.standing is Standing.LIVE:
-        board.fleet.note_fall(before, board.now())
+    if previous.liveness is Liveness.LIVE:
+        cluster_state.fleet.record_worker_failure(previous, cluster_state.now())
     emit(
         events.WorkerRestarted(
             worker=entry.worker,
-            before_ms=before.entry.born_ms,
+            before_ms=previous.entry.born_ms,
             born_ms=entry.born_ms,
-            tasks=len(before.placements),
-            acknowledged=before.ended_upto,
-            heard_upto=before.heard_upto,
+            tasks=len(previous.placements),
+            acknowledged=previous.ended_upto,
+            heard_upto=previous.heard_upto,
         )
     )
-    before.outlive(leases_over_at)
-    after = board.fleet.succeed(before, entry, board.now())
+    previous.extend_leases_until(leases_end_at)
+    after = cluster_state.fleet.replace_incarnation(
+        previous, entry, cluster_state.now()
+    )
     # What it runs by orders of before counts on the last incarnation until it answers.
-    after.outlive(leases_over_at)
+    after.extend_leases_until(leases_end_at)
     return after
 
 
@@ -61,14 +66,17 @@
         worker: A worker that a new owner knows of.
         now_s: Seconds since 1970.
     """
-    if worker.standing is Standing.RESTARTED:
+    if worker.liveness is Liveness.RESTARTED:
         return True
     born_ms = worker.entry.born_ms
-    return bool(born_ms) and now_s - born_ms / 1000 < ORDERS_LATE_S
+    return bool(born_ms) and now_s - born_ms / 1000 < LATE_ORDER_WINDOW_S
 
 
-def settle(
-    board: Board, worker: FleetWorker, reply: SyncReply, leases_over_at: float
+def reconcile(
+    cluster_state: ClusterState,
+    worker: FleetWorker,
+    reply: SyncReply,
+    leases_end_at: float,
 ) -> None:
     """Judge by an incarnation's first list what counted on those before it.
 
@@ -79,25 +87,25 @@
         leases_over_at: Until when orders of before may have extended its lease: by the
             clock of the last incarnation, which is ahead of this one's.
     """
-    if worker.before is None or len(reply.ended) >= MOST_ENDS:
+    if worker.previous is None or len(reply.ended) >= MAX_ENDS_PER_SYNC:
         return
-    here = _named(reply)
-    before: FleetWorker | None = worker.before
-    worker.before = None
+    reported = _reported_attempts(reply)
+    previous: FleetWorker | None = worker.previous
+    worker.previous = None
     found = lost = 0
-    while before is not None:
-        for key, placement in list(before.placements.items()):
-            if key in here:
-                board.move(before, worker, placement)
+    while previous is not None:
+        for key, placement in list(previous.placements.items()):
+            if key in reported:
+                cluster_state.move(previous, worker, placement)
                 found += 1
-        lost += board.lapse(before, Loss.REPLACED)
-        before.standing = Standing.GONE
-        before = before.before
+        lost += cluster_state.give_up_all(previous, LossCause.REPLACED)
+        previous.liveness = Liveness.GONE
+        previous = previous.previous
     # A renewal that came late leaves no trace in the lists.
-    worker.outlive(leases_over_at)
+    worker.extend_leases_until(leases_end_at)
     emit(events.RestartSettled(worker=worker.name, found=found, lost=lost))
 
 
-def _named(reply: SyncReply) -> set[Key]:
+def _reported_attempts(reply: SyncReply) -> set[AttemptKey]:
     running = {(each.task, each.attempt) for each in reply.running}
     return running | {(each.task, each.attempt) for each in reply.ended}
--- a/cranberrycleat/workflow/door.py
+++ b/cranberrycleat/workflow/job_frontend.py
@@ -21,10 +21,10 @@
 from cranberrycleat.table import ABSENT, Check, Put, Row
 from cranberrycleat.workflow import rows
 from cranberrycleat.workflow.access import (
-    TOLD_DIGITS,
-    Access,
+    LOGGED_DIGEST_DIGITS,
     Denied,
     Granted,
+    KeyAuthorizer,
     Undecided,
     may_see,
 )
@@ -32,9 +32,9 @@
 from cranberrycleat.workflow.directory import ConfigFollower
 from cranberrycleat.workflow.owner import Owner
 from cranberrycleat.workflow.peering import (
-    DigestReply,
-    JobAnswer,
-    JobQuestion,
+    HeartbeatReply,
+    JobReply,
+    JobRequest,
     PeerClient,
     SubmitReply,
     SubmitRequest,
@@ -43,36 +43,36 @@
 from cranberrycleat.workflow.spec import WorkflowSpec
 from cranberrycleat.workflow.state import JobState
 from cranberrycleat.writer import (
+    BatchingWriter,
     Change,
-    GroupedWriter,
-    Lost,
-    Unsettled,
-    Untried,
-    Won,
+    Committed,
+    Conflicted,
+    NotAttempted,
+    OutcomeUnknown,
     WriteResult,
 )
 
 LOG: Final[logging.Logger] = part_logger("door")
-MOST_STEPS: Final = 64
-MOST_TASKS: Final = 2000
-MOST_PROGRAM: Final = 4000
+MAX_STEPS: Final = 64
+MAX_TASKS_PER_STEP: Final = 2000
+MAX_PROGRAM_BYTES: Final = 4000
 """Bytes; the platform's page on jobs gives this limit."""
-LENGTHS_AGE_S: Final = 1.6
+MAX_QUEUE_LENGTH_AGE_S: Final = 1.6
 """Queue lengths may be 2 s old."""
-OUTAGE_RETRY_S: Final = 1.0
+OUTAGE_RETRY_AFTER_S: Final = 1.0
 """When to come back after a refusal for an outage. Callers wait 3 s in all, so
 that two more tries fit; nobody knows how long an outage lasts."""
-USABLE_SHARE: Final = 0.85
+RETRY_TIME_FRACTION: Final = 0.85
 """Of the time that a caller waits, the share in which the door goes on trying
 to settle; the rest is for the answer's way."""
-AGAIN_S: Final = 0.1
-INBOX_LIMIT_S: Final = 0.8
+SUBMIT_RETRY_INTERVAL_S: Final = 0.1
+INBOX_WRITE_TIMEOUT_S: Final = 0.8
 """How long a caller waits for a write to the inbox; 0.5 s in a slowed table."""
-MOST_IN_INBOX_WRITE: Final = 40
+MAX_JOBS_PER_INBOX_WRITE: Final = 40
 """A transaction holds 100 entries, a job needs two."""
 
 
-class DoorStatus(enum.Enum):
+class RequestStatus(enum.Enum):
     """How a caller's request came out."""
 
     DONE = "done"
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class DoorAnswer:
+class RequestResult:
     """A caller's answer.
 
     Attributes:
@@ -96,17 +96,17 @@
         retry_after_s: When to come back after a refusal.
     """
 
-    status: DoorStatus
+    status: RequestStatus
     state: str = ""
     waiting: int = 0
     reason: str = ""
-    retry_after_s: float = OUTAGE_RETRY_S
+    retry_after_s: float = OUTAGE_RETRY_AFTER_S
 
 
-NOT_RUN: Final = frozenset({DoorStatus.REFUSED, DoorStatus.DENIED})
+NEVER_RUN_STATUSES: Final = frozenset({RequestStatus.REFUSED, RequestStatus.DENIED})
 """What says that a job never runs; it must not be said of one that may be stored."""
-FOREIGN: Final = DoorAnswer(
-    status=DoorStatus.MALFORMED, reason="this identity is another job's"
+JOB_ID_TAKEN: Final = RequestResult(
+    status=RequestStatus.MALFORMED, reason="this identity is another job's"
 )
 
 
@@ -120,27 +120,27 @@
         with_owner: An owner that answers has it and is storing it.
     """
 
-    answer: DoorAnswer | None = None
-    maybe_stored: bool = False
-    with_owner: bool = False
+    answer: RequestResult | None = None
+    possibly_stored: bool = False
+    owner_is_storing: bool = False
 
 
-async def _first_done(tries: "set[asyncio.Task[_Step]]") -> _Step:
+async def _wait_for_stored(attempts: "set[asyncio.Task[_Step]]") -> _Step:
     """Return the first try that stored the job; else, that it may be stored."""
-    pending = tries
+    pending = attempts
     while pending:
         done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
         for each in done:
             answer = each.result().answer
-            if answer is not None and answer.status is DoorStatus.DONE:
-                for late in pending:
-                    late.cancel()
+            if answer is not None and answer.status is RequestStatus.DONE:
+                for unfinished in pending:
+                    unfinished.cancel()
                 return each.result()
-    return _Step(maybe_stored=True)
+    return _Step(possibly_stored=True)
 
 
 @attrs.define(kw_only=True, eq=False)
-class Door:
+class JobFrontend:
     """Answers callers.
 
     Attributes:
@@ -163,9 +163,9 @@
     """
 
     config: ConfigFollower
-    access: Access
+    access: KeyAuthorizer
     store: FeedTable
-    inbox: GroupedWriter
+    inbox: BatchingWriter
     peers: PeerClient
     owner: Callable[[], Owner | None]
     owner_address: Callable[[], str]
@@ -176,35 +176,39 @@
     left_in_inbox: Callable[[], None]
     clock: Clock
     answer_timeout: AnswerTimeout = attrs.field(factory=AnswerTimeout)
-    digest: DigestReply | None = None
-    digest_at: float = float("-inf")
+    heartbeat: HeartbeatReply | None = None
+    heartbeat_at: float = float("-inf")
 
-    def queue(self, host: str, path: str) -> Queue | DoorAnswer:
+    def queue(self, host: str, path: str) -> Queue | RequestResult:
         """Return the queue that a path names, or the refusal."""
         if self.config.current is None:
-            return DoorAnswer(status=DoorStatus.REFUSED, reason="no configuration yet")
+            return RequestResult(
+                status=RequestStatus.REFUSED, reason="no configuration yet"
+            )
         if self.config_is_late():
             reason = "a newer configuration is in force, and not read here yet"
-            return DoorAnswer(status=DoorStatus.REFUSED, reason=reason)
+            return RequestResult(status=RequestStatus.REFUSED, reason=reason)
         found = self.config.find(host, path)
-        return found or DoorAnswer(status=DoorStatus.NO_QUEUE)
+        return found or RequestResult(status=RequestStatus.NO_QUEUE)
 
-    def grant(self, queue: Queue, job_id: str, digest: str) -> Granted | DoorAnswer:
+    def authorize(
+        self, queue: Queue, job_id: str, key_digest: str
+    ) -> Granted | RequestResult:
         """Judge a request by the digest of its key; return the grant or the refusal."""
-        judged = self.access.judge(queue, digest)
-        match judged:
+        decision = self.access.authorize(queue, key_digest)
+        match decision:
             case Granted():
-                return judged
+                return decision
             case Denied(reason=reason):
-                answer = DoorAnswer(status=DoorStatus.DENIED, reason=reason)
+                answer = RequestResult(status=RequestStatus.DENIED, reason=reason)
             case Undecided(reason=reason):
-                answer = DoorAnswer(status=DoorStatus.REFUSED, reason=reason)
+                answer = RequestResult(status=RequestStatus.REFUSED, reason=reason)
         emit(
             events.CallerRejected(
                 job=job_id,
                 queue=queue.name,
-                key=digest[:TOLD_DIGITS],
-                denied=answer.status is DoorStatus.DENIED,
+                key=key_digest[:LOGGED_DIGEST_DIGITS],
+                denied=answer.status is RequestStatus.DENIED,
                 reason=reason,
             )
         )
@@ -220,7 +224,7 @@
         *,
         limit_s: float,
         access: Granted = Granted(),
-    ) -> DoorAnswer:
+    ) -> RequestResult:
         """Take in a job, trying until it is settled or the time is up.
 
         Args:
@@ -230,49 +234,49 @@
             limit_s: How long the caller waits for the answer.
             access: What the caller was granted.
         """
-        fault = check(spec)
-        if fault:
-            emit(events.JobMalformed(job=job_id, queue=queue.name, reason=fault))
-            return DoorAnswer(status=DoorStatus.MALFORMED, reason=fault)
+        spec_fault = find_spec_fault(spec)
+        if spec_fault:
+            emit(events.JobMalformed(job=job_id, queue=queue.name, reason=spec_fault))
+            return RequestResult(status=RequestStatus.MALFORMED, reason=spec_fault)
         req = SubmitRequest(job_id=job_id, queue=queue, spec=spec, access=access)
-        began = self.clock.now()
-        until = began + limit_s * USABLE_SHARE
-        maybe_stored = False
+        started_at = self.clock.now()
+        deadline = started_at + limit_s * RETRY_TIME_FRACTION
+        possibly_stored = False
         while True:
             if not self.in_contact():
                 break
-            step = await self._submit_once(req)
-            if step.answer is not None and not (
-                maybe_stored and step.answer.status in NOT_RUN
+            attempt = await self._submit_attempt(req)
+            if attempt.answer is not None and not (
+                possibly_stored and attempt.answer.status in NEVER_RUN_STATUSES
             ):
-                return self._tell_refused(req, step.answer)
-            maybe_stored = maybe_stored or step.maybe_stored
-            if self.clock.now() > until:
+                return self._log_refusal(req, attempt.answer)
+            possibly_stored = possibly_stored or attempt.possibly_stored
+            if self.clock.now() > deadline:
                 break
-            await asyncio.sleep(AGAIN_S)
-        return self._give_up(req, maybe_stored, began)
+            await asyncio.sleep(SUBMIT_RETRY_INTERVAL_S)
+        return self._timeout_result(req, possibly_stored, started_at)
 
-    def _give_up(
-        self, req: SubmitRequest, maybe_stored: bool, began: float
-    ) -> DoorAnswer:
+    def _timeout_result(
+        self, req: SubmitRequest, possibly_stored: bool, started_at: float
+    ) -> RequestResult:
         reason = "not settled in time" if self.in_contact() else "cut off"
-        if not maybe_stored:
-            answer = DoorAnswer(status=DoorStatus.REFUSED, reason=reason)
-            return self._tell_refused(req, answer)
+        if not possibly_stored:
+            answer = RequestResult(status=RequestStatus.REFUSED, reason=reason)
+            return self._log_refusal(req, answer)
         emit(
             events.JobUnknown(
                 job=req.job_id,
                 queue=req.queue.name,
                 reason=reason,
-                after_s=round(self.clock.now() - began, 3),
+                after_s=round(self.clock.now() - started_at, 3),
             )
         )
-        return DoorAnswer(status=DoorStatus.UNKNOWN, reason=reason)
+        return RequestResult(status=RequestStatus.UNKNOWN, reason=reason)
 
     @staticmethod
-    def _tell_refused(req: SubmitRequest, answer: DoorAnswer) -> DoorAnswer:
+    def _log_refusal(req: SubmitRequest, answer: RequestResult) -> RequestResult:
         """Log a refusal as it leaves; return the answer."""
-        if answer.status is DoorStatus.REFUSED:
+        if answer.status is RequestStatus.REFUSED:
             emit(
                 events.JobRefused(
                     job=req.job_id,
@@ -284,31 +288,32 @@
             )
         return answer
 
-    async def _submit_once(self, req: SubmitRequest) -> "_Step":
+    async def _submit_attempt(self, req: SubmitRequest) -> "_Step":
         """Hand a job to the owner; where it is slow to answer, to the inbox too.
 
         Both may take it: an identity is one job. So a dead owner costs a
         caller the time of an answer, not that of a lease.
         """
         began = self.clock.now()
-        owner = asyncio.create_task(self._owner_step(req))
+        owner = asyncio.create_task(self._submit_to_owner(req))
         done, _ = await asyncio.wait({owner}, timeout=self.answer_timeout.limit_s())
         if done:
-            step = owner.result()
+            attempt = owner.result()
             self.answer_timeout.answered(self.clock.now() - began)
-            if step.answer is not None or step.with_owner:
-                return step
-            kept = await self._to_inbox(req)
+            if attempt.answer is not None or attempt.owner_is_storing:
+                return attempt
+            from_inbox = await self._store_in_inbox(req)
             return attrs.evolve(
-                kept, maybe_stored=kept.maybe_stored or step.maybe_stored
+                from_inbox,
+                possibly_stored=from_inbox.possibly_stored or attempt.possibly_stored,
             )
         self.answer_timeout.missed()
-        inbox = asyncio.create_task(self._to_inbox(req))
-        return await _first_done({owner, inbox})
+        inbox = asyncio.create_task(self._store_in_inbox(req))
+        return await _wait_for_stored({owner, inbox})
 
-    async def _owner_step(self, req: SubmitRequest) -> "_Step":
+    async def _submit_to_owner(self, req: SubmitRequest) -> "_Step":
         try:
-            reply = await self._to_owner(req)
+            reply = await self._send_to_owner(req)
         except errors.NotOwner:
             return _Step()
         except errors.NotSent:
@@ -320,27 +325,27 @@
                     job=req.job_id, owner=self.owner_address(), reason=str(exc)
                 )
             )
-            return _Step(maybe_stored=True)
+            return _Step(possibly_stored=True)
         if reply is None:
             return _Step()
         if reply.accepted:
-            return _Step(answer=DoorAnswer(status=DoorStatus.DONE))
+            return _Step(answer=RequestResult(status=RequestStatus.DONE))
         if reply.foreign:
-            return _Step(answer=FOREIGN)
+            return _Step(answer=JOB_ID_TAKEN)
         if reply.denied:
-            denied = DoorAnswer(status=DoorStatus.DENIED, reason=reply.reason)
+            denied = RequestResult(status=RequestStatus.DENIED, reason=reply.reason)
             return _Step(answer=denied)
         if not reply.refused:
-            return _Step(maybe_stored=True, with_owner=True)
+            return _Step(possibly_stored=True, owner_is_storing=True)
         return _Step(
-            answer=DoorAnswer(
-                status=DoorStatus.REFUSED,
+            answer=RequestResult(
+                status=RequestStatus.REFUSED,
                 reason=reply.reason,
                 retry_after_s=reply.retry_after_s,
             )
         )
 
-    async def _to_owner(self, req: SubmitRequest) -> SubmitReply | None:
+    async def _send_to_owner(self, req: SubmitRequest) -> SubmitReply | None:
         """Return the owner's answer; None where no owner is known."""
         owner = self.owner()
         if owner is not None:
@@ -350,7 +355,7 @@
             return None
         return await self.peers.submit(address, req)
 
-    async def _to_inbox(self, req: SubmitRequest) -> "_Step":
+    async def _store_in_inbox(self, req: SubmitRequest) -> "_Step":
         row = rows.SpecRow(
             queue=req.queue,
             spec=req.spec,
@@ -362,32 +367,32 @@
             check=Check(key=key, version=ABSENT),
             put=Put(key=key, value=codec.encode_text(row)),
         )
-        match await self._write_within(change):
-            case Won():
+        match await self._write_with_timeout(change):
+            case Committed():
                 stored = True
-            case Lost():
+            case Conflicted():
                 # An earlier try of the caller left the job there, or another workspace.
                 try:
-                    stored = await self._is_stored_for(req)
+                    stored = await self._stored_by_workspace(req)
                 except (errors.TableUnavailable, errors.FindingsError) as exc:
-                    return self._unknown_in_inbox(req, str(exc))
-            case Untried():
+                    return self._inbox_outcome_unknown(req, str(exc))
+            case NotAttempted():
                 return _Step()
-            case Unsettled():
-                return self._unknown_in_inbox(req, "the write is not settled")
+            case OutcomeUnknown():
+                return self._inbox_outcome_unknown(req, "the write is not settled")
         if not stored:
-            return _Step(answer=FOREIGN)
+            return _Step(answer=JOB_ID_TAKEN)
         emit(events.JobInInbox(job=req.job_id, outcome="stored"))
         self.left_in_inbox()
-        return _Step(answer=DoorAnswer(status=DoorStatus.DONE))
+        return _Step(answer=RequestResult(status=RequestStatus.DONE))
 
     @staticmethod
-    def _unknown_in_inbox(req: SubmitRequest, reason: str) -> "_Step":
+    def _inbox_outcome_unknown(req: SubmitRequest, reason: str) -> "_Step":
         LOG.debug("Whether job %s is in the inbox is unknown: %s", req.job_id, reason)
         emit(events.JobInInbox(job=req.job_id, outcome="unknown"))
-        return _Step(maybe_stored=True)
+        return _Step(possibly_stored=True)
 
-    async def _is_stored_for(self, req: SubmitRequest) -> bool:
+    async def _stored_by_workspace(self, req: SubmitRequest) -> bool:
         """Tell whether what the inbox has under an identity is this workspace's.
 
         Raises:
@@ -398,82 +403,89 @@
         caller = req.access.workspace
         return all(may_see(caller=caller, owner=_inbox_workspace(row)) for row in found)
 
-    async def _write_within(self, change: Change) -> WriteResult:
+    async def _write_with_timeout(self, change: Change) -> WriteResult:
         """Write to the inbox; what takes longer goes on without its caller.
 
         The grouped writer tries three times. A caller behind a cut is served
         sooner by an answer, and comes again with the same identity.
         """
         write = asyncio.ensure_future(self.inbox.write(change))
-        done, _ = await asyncio.wait({write}, timeout=INBOX_LIMIT_S)
-        return write.result() if done else Unsettled()
+        done, _ = await asyncio.wait({write}, timeout=INBOX_WRITE_TIMEOUT_S)
+        return write.result() if done else OutcomeUnknown()
 
     # --- asking ---------------------------------------------------------------
 
-    async def state(self, job_id: str, workspace: str = "") -> DoorAnswer:
+    async def state(self, job_id: str, workspace: str = "") -> RequestResult:
         """Return a job's state: the owner's word, or the table's if that is late.
 
         To other workspaces than its own a job does not exist.
         """
-        req = JobQuestion(job_id=job_id, workspace=workspace)
-        asked = asyncio.create_task(self._owner_says(req, cancel=False))
-        done, _ = await asyncio.wait({asked}, timeout=self.answer_timeout.limit_s())
+        req = JobRequest(job_id=job_id, workspace=workspace)
+        query = asyncio.create_task(self._query_owner(req, cancel=False))
+        done, _ = await asyncio.wait({query}, timeout=self.answer_timeout.limit_s())
         if done:
-            answer = asked.result()
+            answer = query.result()
             if answer is not None and answer.known:
-                return DoorAnswer(status=DoorStatus.DONE, state=answer.state)
+                return RequestResult(status=RequestStatus.DONE, state=answer.state)
         else:
-            asked.cancel()
+            query.cancel()
         if not self.in_contact():
-            return DoorAnswer(status=DoorStatus.REFUSED, reason="cut off")
+            return RequestResult(status=RequestStatus.REFUSED, reason="cut off")
         try:
             return await self._stored_state(req)
         except (errors.TableUnavailable, errors.FindingsError) as exc:
-            return DoorAnswer(status=DoorStatus.REFUSED, reason=str(exc))
+            return RequestResult(status=RequestStatus.REFUSED, reason=str(exc))
 
-    async def _stored_state(self, req: JobQuestion) -> DoorAnswer:
+    async def _stored_state(self, req: JobRequest) -> RequestResult:
         keys = (rows.job_key(req.job_id), rows.inbox_key(req.job_id))
         found = {row.key: row for row in await self.store.read(keys=keys)}
         state, workspace = "", ""
         if keys[0] in found:
-            row = rows.read_row(found[keys[0]].value, keys[0])
+            row = rows.decode_job_row(found[keys[0]].value, keys[0])
             state, workspace = row.state().value, row.workspace
         elif keys[1] in found:
             state = JobState.QUEUED.value
             workspace = _inbox_workspace(found[keys[1]])
         if not state or not may_see(caller=req.workspace, owner=workspace):
-            return DoorAnswer(status=DoorStatus.NO_JOB)
-        return DoorAnswer(status=DoorStatus.DONE, state=state)
+            return RequestResult(status=RequestStatus.NO_JOB)
+        return RequestResult(status=RequestStatus.DONE, state=state)
 
     async def cancel(
         self, job_id: str, *, limit_s: float, workspace: str = ""
-    ) -> DoorAnswer:
+    ) -> RequestResult:
         """Cancel a job, trying until it is settled or the time is up."""
-        req = JobQuestion(job_id=job_id, workspace=workspace)
-        until = self.clock.now() + limit_s * USABLE_SHARE
+        req = JobRequest(job_id=job_id, workspace=workspace)
+        deadline = self.clock.now() + limit_s * RETRY_TIME_FRACTION
         while True:
-            answer = await self._cancel_once(req)
-            if answer.status is not DoorStatus.UNKNOWN or self.clock.now() > until:
-                told = answer.state or answer.reason or answer.status.value
-                emit(events.JobCancelled(job=job_id, state=told))
+            answer = await self._cancel_attempt(req)
+            if (
+                answer.status is not RequestStatus.UNKNOWN
+                or self.clock.now() > deadline
+            ):
+                reported = answer.state or answer.reason or answer.status.value
+                emit(events.JobCancelled(job=job_id, state=reported))
                 return answer
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(SUBMIT_RETRY_INTERVAL_S)
 
-    async def _cancel_once(self, req: JobQuestion) -> DoorAnswer:
-        answer = await self._owner_says(req, cancel=True)
+    async def _cancel_attempt(self, req: JobRequest) -> RequestResult:
+        answer = await self._query_owner(req, cancel=True)
         if answer is None:
-            return DoorAnswer(status=DoorStatus.UNKNOWN, reason="no owner answers")
+            return RequestResult(
+                status=RequestStatus.UNKNOWN, reason="no owner answers"
+            )
         if answer.known:
-            return DoorAnswer(status=DoorStatus.DONE, state=answer.state)
+            return RequestResult(status=RequestStatus.DONE, state=answer.state)
         try:
             stored = await self._stored_state(req)
         except (errors.TableUnavailable, errors.FindingsError) as exc:
-            return DoorAnswer(status=DoorStatus.UNKNOWN, reason=str(exc))
-        if stored.status is DoorStatus.NO_JOB:
+            return RequestResult(status=RequestStatus.UNKNOWN, reason=str(exc))
+        if stored.status is RequestStatus.NO_JOB:
             return stored
-        return DoorAnswer(status=DoorStatus.UNKNOWN, reason="not with the owner yet")
+        return RequestResult(
+            status=RequestStatus.UNKNOWN, reason="not with the owner yet"
+        )
 
-    async def _owner_says(self, req: JobQuestion, *, cancel: bool) -> JobAnswer | None:
+    async def _query_owner(self, req: JobRequest, *, cancel: bool) -> JobReply | None:
         """Return the owner's answer; None where no owner gave one."""
         try:
             owner = self.owner()
@@ -490,18 +502,23 @@
             return None
         return answer if answer.owner else None
 
-    def waiting(self, queue: Queue) -> DoorAnswer:
+    def waiting(self, queue: Queue) -> RequestResult:
         """Return how many jobs of a queue have started nothing."""
         owner = self.owner()
         if owner is not None:
-            number = owner.board.waiting_of(queue.name)
-            return DoorAnswer(status=DoorStatus.DONE, waiting=number)
-        if self.digest is None or self.clock.now() - self.digest_at > LENGTHS_AGE_S:
-            return DoorAnswer(
-                status=DoorStatus.REFUSED, reason="no recent word of the owner"
+            number = owner.cluster_state.queue_length(queue.name)
+            return RequestResult(status=RequestStatus.DONE, waiting=number)
+        if (
+            self.heartbeat is None
+            or self.clock.now() - self.heartbeat_at > MAX_QUEUE_LENGTH_AGE_S
+        ):
+            return RequestResult(
+                status=RequestStatus.REFUSED, reason="no recent word of the owner"
             )
-        lengths = {each.queue: each.waiting for each in self.digest.lengths}
-        return DoorAnswer(status=DoorStatus.DONE, waiting=lengths.get(queue.name, 0))
+        lengths = {each.queue: each.waiting for each in self.heartbeat.lengths}
+        return RequestResult(
+            status=RequestStatus.DONE, waiting=lengths.get(queue.name, 0)
+        )
 
 
 def _inbox_workspace(row: Row) -> str:
@@ -509,15 +526,15 @@
     return codec.decode(row.value, rows.SpecRow, place=row.key).workspace
 
 
-def check(spec: WorkflowSpec) -> str:
+def find_spec_fault(spec: WorkflowSpec) -> str:
     """Return what is wrong with a job, or nothing."""
-    if not spec.steps or len(spec.steps) > MOST_STEPS:
-        return f"a job has 1 to {MOST_STEPS} steps"
-    if len(spec.program.encode()) > MOST_PROGRAM:
-        return f"the program's text is over {MOST_PROGRAM} bytes"
+    if not spec.steps or len(spec.steps) > MAX_STEPS:
+        return f"a job has 1 to {MAX_STEPS} steps"
+    if len(spec.program.encode()) > MAX_PROGRAM_BYTES:
+        return f"the program's text is over {MAX_PROGRAM_BYTES} bytes"
     for number, step in enumerate(spec.steps):
-        if step.count < 1 or step.count > MOST_TASKS:
-            return f"step {number}: 1 to {MOST_TASKS} tasks"
+        if step.count < 1 or step.count > MAX_TASKS_PER_STEP:
+            return f"step {number}: 1 to {MAX_TASKS_PER_STEP} tasks"
         if any(not 0 <= earlier < number for earlier in step.after):
             return f"step {number}: 'after' names a step that is not earlier"
     return ""
--- a/cranberrycleat/workflow/links.py
+++ b/cranberrycleat/workflow/links.py
@@ -14,13 +14,20 @@
 
 from cranberrycleat import events
 from cranberrycleat.clock import Clock
-from cranberrycleat.lifecycle import Background
+from cranberrycleat.lifecycle import BackgroundTasks
 from cranberrycleat.logs import emit, part_logger
 from cranberrycleat.workflow import incarnations, progress
 from cranberrycleat.workflow.answer_timeout import AnswerTimeout
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.evacuation import to_stop
-from cranberrycleat.workflow.fleet import FleetWorker, Loss, Placement, Standing
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.evacuation import placements_to_stop
+from cranberrycleat.workflow.filler_throttling import (
+    ThrottleOrder,
+    fills,
+    pressure,
+    serves,
+    throttle_orders,
+)
+from cranberrycleat.workflow.fleet import FleetWorker, Liveness, LossCause, Placement
 from cranberrycleat.workflow.ports import (
     LeaseBounds,
     OrderReply,
@@ -30,35 +37,28 @@
     WorkerClient,
     WorkerReplaced,
     WorkerUnreachable,
-    may_be_one_life,
-)
-from cranberrycleat.workflow.serving import (
-    ThrottleOrder,
-    fills,
-    pressure,
-    serves,
-    throttle_orders,
+    may_be_same_incarnation,
 )
 
 LOG: Final[logging.Logger] = part_logger("link")
-WAIT_SHARE: Final = 0.25
+SYNC_WAIT_LEASE_SHARE: Final = 0.25
 """How long a worker holds a sync open while nothing ends there, as a share of
 the lease; each sync is priced as a status check."""
-READINGS_MS: Final = 500
+SERVING_SYNC_WAIT_MS: Final = 500
 """The same beside fillers: readings of serving tasks cover half a second."""
-GAP_S: Final = 0.03
+SYNC_PAUSE_S: Final = 0.03
 """The pause between two syncs, so that ends that come together share one."""
-SILENT_PAUSE_S: Final = 0.25
-ORDER_PAUSE_S: Final = 0.05
-STOP_AGAIN_S: Final = 0.7
-REFUSED_REST_S: Final = 1.0
+SILENT_RETRY_S: Final = 0.25
+ORDER_RETRY_S: Final = 0.05
+STOP_RESEND_S: Final = 0.7
+UNHEALTHY_QUARANTINE_S: Final = 1.0
 """A worker that refuses as unhealthy is left alone this long."""
-CONFIRM_S: Final = 1.0
-RESTARTS_PER_EPOCH: Final = 1_000_000
+STORE_WAIT_S: Final = 1.0
+FENCES_PER_EPOCH: Final = 1_000_000
 """Fences of one owner; it finds fewer restarts of workers."""
 
 
-class Authority(Protocol):
+class OrderAuthority(Protocol):
     """What a link asks of its owner."""
 
     @property
@@ -77,10 +77,10 @@
     def changed(self) -> None:
         """The board has changed: store and plan."""
 
-    async def confirmed(self, limit_s: float) -> None:
+    async def batch_stored(self, limit_s: float) -> None:
         """Wait until a batch was stored, at most that long."""
 
-    def restarted(self, worker: FleetWorker, born_ms: int) -> None:
+    def worker_restarted(self, worker: FleetWorker, born_ms: int) -> None:
         """Another incarnation answers under a worker's identity."""
 
 
@@ -101,22 +101,22 @@
     """
 
     worker: FleetWorker
-    board: Board
+    cluster_state: ClusterState
     client: WorkerClient
-    owner: Authority
+    owner: OrderAuthority
     clock: Clock
     bounds: LeaseBounds
     lease_s: float
     answer_timeout: AnswerTimeout = attrs.field(factory=AnswerTimeout)
-    over: bool = False
-    orders: Background = attrs.field(factory=Background)
+    closed: bool = False
+    orders: BackgroundTasks = attrs.field(factory=BackgroundTasks)
     _stops: set[tuple[str, int]] = attrs.field(factory=set)
 
     async def run(self) -> None:
         """Sync until the worker's life is over or the link is cancelled."""
         try:
-            while not self.over:
-                await self._round()
+            while not self.closed:
+                await self._sync_round()
         finally:
             await self.orders.cancel()
             self._stops.clear()
@@ -129,30 +129,30 @@
         An order to an earlier incarnation that comes late is refused by one that has
         answered a later fence.
         """
-        return self.owner.epoch * RESTARTS_PER_EPOCH + self.worker.generation
+        return self.owner.epoch * FENCES_PER_EPOCH + self.worker.generation
 
-    async def _round(self) -> None:
+    async def _sync_round(self) -> None:
         try:
             await self._sync()
         except WorkerReplaced:
-            self._end_of_life()
+            self._mark_replaced()
         except WorkerUnreachable as exc:
-            self._silent(str(exc))
-            await asyncio.sleep(SILENT_PAUSE_S)
+            self._mark_silent(str(exc))
+            await asyncio.sleep(SILENT_RETRY_S)
         else:
-            if self.over:
+            if self.closed:
                 return
             self._evacuate()
-            self._leave_standing()
+            self._drain_stalled_worker()
             self._order_throttles()
             self._order_stops()
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(SYNC_PAUSE_S)
             if self.worker.heard_upto > self.worker.ended_upto:
-                await self.owner.confirmed(CONFIRM_S)
+                await self.owner.batch_stored(STORE_WAIT_S)
 
     async def _sync(self) -> None:
         worker = self.worker
-        first = worker.standing is not Standing.LIVE
+        first = worker.liveness is not Liveness.LIVE
         sent_at = self.clock.now()
         lease_end = None
         # A silent worker is only asked: each lease offered would have to be
@@ -166,46 +166,50 @@
             lease_end_ms=lease_end,
             wait_ms=0 if first else self._wait_ms(),
         )
-        if self.over:
+        if self.closed:
             # A later incarnation was found meanwhile, and has a link of its own.
             return
         match reply:
-            case SyncReply() if not self._is_of_this_life(reply):
-                self.owner.restarted(worker, reply.born_ms)
+            case SyncReply() if not self._is_same_incarnation(reply):
+                self.owner.worker_restarted(worker, reply.born_ms)
             case SyncReply():
-                self._heard(reply, sent_at)
+                self._apply_sync_reply(reply, sent_at)
             case OrderReply(verdict=Verdict.STALE_EPOCH):
                 self.owner.fenced()
-                await asyncio.sleep(SILENT_PAUSE_S)
+                await asyncio.sleep(SILENT_RETRY_S)
             case OrderReply(verdict=verdict):
                 raise WorkerUnreachable(f"{worker.name}: sync refused: {verdict.value}")
 
-    def _is_of_this_life(self, reply: SyncReply) -> bool:
-        return may_be_one_life(reply.born_ms, self.worker.entry.born_ms)
+    def _is_same_incarnation(self, reply: SyncReply) -> bool:
+        return may_be_same_incarnation(reply.born_ms, self.worker.entry.born_ms)
 
     def _wait_ms(self) -> int:
         """Return how long a sync may stay open; readings are wanted more often."""
         placements = self.worker.placements.values()
         if any(map(serves, placements)) and any(map(fills, placements)):
-            return READINGS_MS
-        return round(self.lease_s * WAIT_SHARE * 1000)
+            return SERVING_SYNC_WAIT_MS
+        return round(self.lease_s * SYNC_WAIT_LEASE_SHARE * 1000)
 
-    def _heard(self, reply: SyncReply, sent_at: float) -> None:
+    def _apply_sync_reply(self, reply: SyncReply, sent_at: float) -> None:
         worker = self.worker
         now = self.clock.now()
-        incarnations.settle(self.board, worker, reply, now + self.bounds.longest_s())
-        fresh = self.board.sync(worker, reply, sent_at=sent_at, now=now)
-        if worker.standing is not Standing.LIVE:
+        incarnations.reconcile(
+            self.cluster_state, worker, reply, now + self.bounds.max_run_on_s()
+        )
+        fresh = self.cluster_state.sync(worker, reply, sent_at=sent_at, now=now)
+        if worker.liveness is not Liveness.LIVE:
             emit(events.WorkerAnswers(worker=worker.name))
-            self.board.losses.clear(worker)
-            worker.standing = Standing.LIVE
+            self.cluster_state.losses.clear(worker)
+            worker.liveness = Liveness.LIVE
             self.owner.changed()
         if fresh:
             self.owner.changed()
 
-    def _silent(self, reason: str) -> None:
-        if self.worker.standing is Standing.LIVE:
-            self.board.fleet.note_fall(self.worker, self.clock.now())
+    def _mark_silent(self, reason: str) -> None:
+        if self.worker.liveness is Liveness.LIVE:
+            self.cluster_state.fleet.record_worker_failure(
+                self.worker, self.clock.now()
+            )
             emit(
                 events.WorkerSilent(
                     worker=self.worker.name,
@@ -213,20 +217,22 @@
                     reason=reason,
                 )
             )
-            self.worker.standing = Standing.SILENT
+            self.worker.liveness = Liveness.SILENT
 
-    def _end_of_life(self) -> None:
+    def _mark_replaced(self) -> None:
         """Another life answers: nothing of this one runs any more."""
         emit(
             events.WorkerIsReplaced(
                 worker=self.worker.name, tasks=len(self.worker.placements)
             )
         )
-        if self.worker.standing is Standing.LIVE:
-            self.board.fleet.note_fall(self.worker, self.clock.now())
-        self.over = True
-        self.worker.standing = Standing.GONE
-        if self.board.lapse(self.worker, Loss.REPLACED):
+        if self.worker.liveness is Liveness.LIVE:
+            self.cluster_state.fleet.record_worker_failure(
+                self.worker, self.clock.now()
+            )
+        self.closed = True
+        self.worker.liveness = Liveness.GONE
+        if self.cluster_state.give_up_all(self.worker, LossCause.REPLACED):
             self.owner.changed()
 
     # --- starts ---------------------------------------------------------------
@@ -235,16 +241,18 @@
         """Order a start until it is settled."""
         unanswered = 0
         order: StartOrder | None = None
-        while self._counted(placement) and not placement.stopping and not self.over:
-            if order is None and not self._may_begin(placement):
+        while (
+            self._is_counted(placement) and not placement.stopping and not self.closed
+        ):
+            if order is None and not self._may_start(placement):
                 break
-            reason = self._why_void(placement)
+            reason = self._void_reason(placement)
             if reason:
                 # An unanswered order must not begin anything there any more.
                 placement.stop(reason)
                 break
-            if not self.owner.may_order() or not self._answers():
-                await asyncio.sleep(ORDER_PAUSE_S)
+            if not self.owner.may_order() or not self._is_live():
+                await asyncio.sleep(ORDER_RETRY_S)
                 continue
             if order is None or not unanswered:
                 order = self._start_order(placement)
@@ -252,10 +260,10 @@
                 placement.ordered = True
                 reply = await self._send_start(order)
             except WorkerReplaced:
-                self._end_of_life()
+                self._mark_replaced()
                 return
             except WorkerUnreachable as exc:
-                if self.over:
+                if self.closed:
                     return
                 emit(
                     events.TaskUnanswered(
@@ -266,32 +274,34 @@
                     )
                 )
                 unanswered += 1
-                self.worker.doubted = True
-                await asyncio.sleep(ORDER_PAUSE_S)
+                self.worker.unresponsive = True
+                await asyncio.sleep(ORDER_RETRY_S)
                 continue
-            if self.over or self._settled(placement, reply, unanswered + 1):
+            if self.closed or self._apply_start_reply(placement, reply, unanswered + 1):
                 return
-            await asyncio.sleep(ORDER_PAUSE_S)
-        if self._counted(placement) and not placement.ordered:
-            self.board.give_up(self.worker, placement, "never ordered")
+            await asyncio.sleep(ORDER_RETRY_S)
+        if self._is_counted(placement) and not placement.ordered:
+            self.cluster_state.give_up(self.worker, placement, "never ordered")
             self.owner.changed()
-        elif self._counted(placement) and not self.over:
+        elif self._is_counted(placement) and not self.closed:
             self._order_stops()
 
-    def _may_begin(self, placement: Placement) -> bool:
-        return self.worker.may_begin() and not self.board.is_over_quota(placement)
+    def _may_start(self, placement: Placement) -> bool:
+        return self.worker.may_start() and not self.cluster_state.is_over_quota(
+            placement
+        )
 
-    def _why_void(self, placement: Placement) -> str:
+    def _void_reason(self, placement: Placement) -> str:
         """Return why an order that has had no answer must not begin anything."""
-        if self.worker.entry.leaving or self.worker.is_over():
+        if self.worker.entry.leaving or self.worker.is_overcommitted():
             return "worker leaves, or has shrunk, before it began"
-        if self.board.is_over_quota(placement):
+        if self.cluster_state.is_over_quota(placement):
             return "its workspace's quota fell before it began"
         return ""
 
-    def _answers(self) -> bool:
+    def _is_live(self) -> bool:
         """Tell whether the worker has not fallen silent; it may have started again."""
-        return self.worker.standing is Standing.LIVE
+        return self.worker.liveness is Liveness.LIVE
 
     async def _send_start(self, order: StartOrder) -> OrderReply:
         """Send a start, and wait for its answer as long as answers take of late.
@@ -323,18 +333,20 @@
             permit=placement.permit,
         )
 
-    def _settled(self, placement: Placement, reply: OrderReply, sent: int) -> bool:
+    def _apply_start_reply(
+        self, placement: Placement, reply: OrderReply, sent: int
+    ) -> bool:
         unanswered = sent > 1
         now = self.clock.now()
         if reply.worker_time_ms is not None:
-            self.worker.heard_time(reply.worker_time_ms, now)
+            self.worker.update_clock(reply.worker_time_ms, now)
         match reply.verdict:
             case Verdict.ACCEPTED | Verdict.STALE_ATTEMPT:
                 # A stale attempt is over there, or never began since a stop overtook
                 # it; the next lists tell.
                 placement.began(now)
                 if reply.verdict is Verdict.ACCEPTED:
-                    self.board.note_begun(placement)
+                    self.cluster_state.note_begun(placement)
                 emit(
                     events.TaskStarted(
                         task=placement.task,
@@ -351,9 +363,9 @@
             case Verdict.TOO_LATE if not unanswered:
                 return False
             case Verdict.NO_PERMIT:
-                self.board.permit_refused(self.worker, placement)
+                self.cluster_state.permit_refused(self.worker, placement)
             case Verdict.UNHEALTHY:
-                self.worker.rests_until = now + REFUSED_REST_S
+                self.worker.quarantined_until = now + UNHEALTHY_QUARANTINE_S
             case _:
                 pass
         emit(
@@ -369,11 +381,11 @@
             placement.stop("refused after no answer")
             self._order_stops()
         else:
-            self.board.give_up(self.worker, placement, "refused")
+            self.cluster_state.give_up(self.worker, placement, "refused")
             self.owner.changed()
         return True
 
-    def _counted(self, placement: Placement) -> bool:
+    def _is_counted(self, placement: Placement) -> bool:
         return self.worker.counts(placement)
 
     # --- throttling -----------------------------------------------------------
@@ -429,23 +441,23 @@
 
     def _evacuate(self) -> None:
         """Mark what is to leave a leaving worker."""
-        for placement in to_stop(self.worker, self.clock.now()):
+        for placement in placements_to_stop(self.worker, self.clock.now()):
             placement.stop("worker leaves")
 
-    def _leave_standing(self) -> None:
+    def _drain_stalled_worker(self) -> None:
         """Take what cannot wait off a worker on which nothing moves."""
         worker = self.worker
         now = self.clock.now()
-        if not progress.stands_still(worker, now):
+        if not progress.is_stalled(worker, now):
             return
-        stopped = progress.to_stop(worker, self.board.time_of_day())
+        stopped = progress.placements_to_stop(worker, self.cluster_state.time_of_day())
         for placement in stopped:
             placement.stop("its worker stands still")
-        if now < worker.rests_until:
+        if now < worker.quarantined_until:
             return
-        worker.rest(now)
+        worker.quarantine(now)
         emit(
-            events.WorkerStandsStill(
+            events.WorkerStalled(
                 worker=worker.name,
                 tasks=len(worker.placements),
                 stopped=len(stopped),
@@ -460,10 +472,10 @@
     async def _stop(self, placement: Placement) -> None:
         key = (placement.task, placement.attempt)
         try:
-            while self._counted(placement) and not self.over:
+            while self._is_counted(placement) and not self.closed:
                 if self.owner.may_order():
                     await self._send_stop(placement)
-                await asyncio.sleep(STOP_AGAIN_S)
+                await asyncio.sleep(STOP_RESEND_S)
         finally:
             self._stops.discard(key)
 
@@ -473,12 +485,12 @@
                 self.worker.entry, placement.task, placement.attempt, self.fence
             )
         except WorkerReplaced:
-            self._end_of_life()
+            self._mark_replaced()
             return
         except WorkerUnreachable as exc:
             LOG.debug("Stop of %s unanswered: %s", placement.task, exc)
             return
-        if self.over:
+        if self.closed:
             return
         if reply.verdict is Verdict.STALE_EPOCH:
             self.owner.fenced()
--- a/cranberrycleat/workflow/locality.py
+++ b/cranberrycleat/workflow/locality.py
@@ -7,13 +7,13 @@
 
 from typing import Final
 
-from cranberrycleat.workflow.fleet import FleetWorker, seats
+from cranberrycleat.workflow.fleet import FleetWorker, max_tasks_on
 from cranberrycleat.workflow.spec import StepSpec
 
-WAIT_SHARE: Final = 0.5
+MAX_WAIT_FRACTION: Final = 0.5
 """Of what going elsewhere would cost: who waits for half of it and must go all the
 same has lost half as much again, who waits in vain for all of it twice as much."""
-MOST_S: Final = 3.0
+MAX_RACK_WAIT_S: Final = 3.0
 """Estimates are off by large factors; a rack that is not free by then is full."""
 
 
@@ -26,19 +26,19 @@
     """
     if not spec.same_rack and not spec.data_rack:
         return 0.0
-    lost_s = (spread_factor - 1.0) * spec.estimate_s
-    return max(0.0, min(MOST_S, WAIT_SHARE * lost_s))
+    penalty_s = (spread_factor - 1.0) * spec.estimate_s
+    return max(0.0, min(MAX_RACK_WAIT_S, MAX_WAIT_FRACTION * penalty_s))
 
 
-def racks(workers: list[FleetWorker]) -> dict[str, list[FleetWorker]]:
+def workers_by_rack(workers: list[FleetWorker]) -> dict[str, list[FleetWorker]]:
     """Return the workers of each rack; the first label is a worker's kind."""
-    found: dict[str, list[FleetWorker]] = {}
+    by_rack: dict[str, list[FleetWorker]] = {}
     for worker in workers:
         for label in worker.entry.racks:
-            found.setdefault(label, []).append(worker)
-    return found
+            by_rack.setdefault(label, []).append(worker)
+    return by_rack
 
 
-def could_hold(spec: StepSpec, workers: list[FleetWorker]) -> bool:
+def could_hold_gang(spec: StepSpec, workers: list[FleetWorker]) -> bool:
     """Tell whether these workers, if they were empty, could hold a whole gang."""
-    return sum(seats(spec, each.most) for each in workers) >= spec.count
+    return sum(max_tasks_on(spec, each.max_capacity) for each in workers) >= spec.count
--- a/cranberrycleat/workflow/loss_ledger.py
+++ b/cranberrycleat/workflow/loss_tracker.py
@@ -10,14 +10,14 @@
 
 from cranberrycleat import events
 from cranberrycleat.logs import emit
-from cranberrycleat.workflow.falls import SimultaneousFalls
+from cranberrycleat.workflow.crash_attribution import LossRecord, LostWorker
 from cranberrycleat.workflow.fleet import Fleet, FleetWorker, Placement
 from cranberrycleat.workflow.state import Job
-from cranberrycleat.workflow.suspicion import LossRecord, LostWorker
+from cranberrycleat.workflow.worker_failures import CorrelatedFailures
 
 
 @attrs.define(kw_only=True, eq=False)
-class LossLedger:
+class LossTracker:
     """Keeps the records of one owner's open jobs.
 
     Attributes:
@@ -30,20 +30,20 @@
     fleet: Fleet
     now: Callable[[], float]
     changed: Callable[[Job], None]
-    suspected: dict[str, Job] = attrs.field(factory=dict)
+    jobs_with_losses: dict[str, Job] = attrs.field(factory=dict)
 
     def restore(self, job: Job) -> None:
         """Take in the records of a job that an earlier owner stored."""
         for record in _records(job):
-            record.inherit(self.now())
-            self.suspected[job.job_id] = job
+            record.record_takeover(self.now())
+            self.jobs_with_losses[job.job_id] = job
 
     def forget(self, job_id: str) -> None:
         """A job has ended."""
-        self.suspected.pop(job_id, None)
+        self.jobs_with_losses.pop(job_id, None)
 
-    def note(
-        self, worker: FleetWorker, placement: Placement, with_it: SimultaneousFalls
+    def record_loss(
+        self, worker: FleetWorker, placement: Placement, correlated: CorrelatedFailures
     ) -> bool:
         """Put a lost worker on the record of a task that may have crashed it.
 
@@ -59,27 +59,28 @@
         Returns:
             Whether the job is to be given up.
         """
-        task = placement.subject
+        task = placement.tracked_task
         if task is None or not placement.is_current or not placement.ordered:
             return False
         job = task.step.job
-        just_begun = not worker.has_settled(placement)
+        just_begun = not worker.outlived_crash_window(placement)
         left = worker.entry.leaving and bool(worker.entry.address) and not just_begun
         if left or worker.held or job.verdict is not None:
             return False
-        record = task.step.make_losses_of(task)
-        decides = not record.is_isolated() or (
-            not with_it.everywhere and self.fleet.fell_alone(worker, job.job_id)
+        record = task.step.ensure_losses_of(task)
+        decides = not record.needs_isolation() or (
+            not correlated.all_failures
+            and self.fleet.failed_without_other_starts(worker, job.job_id)
         )
         loss = LostWorker(
             attempt=placement.attempt,
             worker=worker.name,
             address=worker.entry.address,
-            early=just_begun and decides and not with_it.clear(job.job_id),
+            early=just_begun and decides and not correlated.exonerates(job.job_id),
         )
-        record.note(loss, self.now())
-        self.suspected[job.job_id] = job
-        if not record.is_enough():
+        record.add_loss(loss, self.now())
+        self.jobs_with_losses[job.job_id] = job
+        if not record.limit_reached():
             return False
         lost = tuple(each.worker for each in record.lost)
         emit(
@@ -91,23 +92,23 @@
 
     def clear(self, worker: FleetWorker) -> None:
         """A worker answers again: no task has crashed it."""
-        for job in self.suspected.values():
+        for job in self.jobs_with_losses.values():
             for record in _records(job):
                 if record.clear(worker.name):
                     self.changed(job)
 
-    def settle(self, worker: FleetWorker, placement: Placement) -> None:
+    def attempt_survived(self, worker: FleetWorker, placement: Placement) -> None:
         """Lift the suspicion from a task that has run for a while.
 
         A gang's is not lifted: its other members run on while the one is found lost.
         """
-        task = placement.subject
+        task = placement.tracked_task
         if task is None or not placement.is_current or task.step.spec.gang:
             return
         record = task.step.losses_of(task)
-        if record is None or not worker.has_settled(placement):
+        if record is None or not worker.outlived_crash_window(placement):
             return
-        if record.settle(lasts=task.step.spec.service):
+        if record.attempt_survived(lasts=task.step.spec.service):
             self.changed(task.step.job)
 
 
