--- a/cranberrycleat/workflow/node.py
+++ b/cranberrycleat/workflow/node.py
@@ -17,36 +17,46 @@
 from cranberrycleat.http_client import HttpClient
 from cranberrycleat.http_server import HttpServer
 from cranberrycleat.lease import OwnershipLease
-from cranberrycleat.lifecycle import Background
-from cranberrycleat.logs import emit, lines_left_out, name_host, observe, part_logger
+from cranberrycleat.lifecycle import BackgroundTasks
+from cranberrycleat.logs import (
+    dropped_lines,
+    emit,
+    part_logger,
+    set_host_name,
+    set_observer,
+)
 from cranberrycleat.metrics import Metrics
 from cranberrycleat.workflow import options
-from cranberrycleat.workflow.access import Access
+from cranberrycleat.workflow.access import KeyAuthorizer
 from cranberrycleat.workflow.adapter import Adapter
 from cranberrycleat.workflow.candidacy import Candidacy, strength
 from cranberrycleat.workflow.config_watch import ConfigWatch
-from cranberrycleat.workflow.contact import OWNER_FRESH_S, STORE_FRESH_S, Contact
-from cranberrycleat.workflow.door import MOST_IN_INBOX_WRITE, Door
+from cranberrycleat.workflow.job_frontend import MAX_JOBS_PER_INBOX_WRITE, JobFrontend
 from cranberrycleat.workflow.membership import Membership
 from cranberrycleat.workflow.owner import Owner
 from cranberrycleat.workflow.peer_api import PeerApi
-from cranberrycleat.workflow.peering import Digest, DigestReply, PeerClient
+from cranberrycleat.workflow.peering import Heartbeat, HeartbeatReply, PeerClient
 from cranberrycleat.workflow.permit_queue import PermitQueue
+from cranberrycleat.workflow.reachability import (
+    OWNER_FRESH_S,
+    TABLE_FRESH_S,
+    Reachability,
+)
 from cranberrycleat.workflow.telemetry import Telemetry
 from cranberrycleat.workflow.upkeep_director import UpkeepDirector
-from cranberrycleat.writer import GroupedWriter
+from cranberrycleat.writer import BatchingWriter
 
 LOG: Final[logging.Logger] = part_logger("node")
 OWNER_KEY: Final = "owner/cell"
-BALANCER_S: Final = 2.5
+BALANCER_DRAIN_S: Final = 2.5
 """The balancer asks each second and sends no new callers after two misses."""
-FINISH_S: Final = 1.5
+IN_FLIGHT_MARGIN_S: Final = 1.5
 """Left of the time that the platform gives a process to stop, for what is in
 flight: a caller's change takes 0.7 s at most, and its answer must leave."""
-SETTINGS_S: Final = 5.0
+SETTINGS_POLL_INTERVAL_S: Final = 5.0
 """How often the settings file is read; it takes a millisecond."""
-MOST_ASKED: Final = 2
-FIRST_CONFIG_S: Final = 0.5
+MAX_PROBED_PEERS: Final = 2
+FIRST_CONFIG_TIMEOUT_S: Final = 0.5
 """How long a host that has just started keeps callers waiting for the first
 configuration before it refuses them: one read takes 10 ms, 0.25 s in a slowed
 table. Callers have 3 s in all."""
@@ -69,29 +79,29 @@
     _candidacy: Candidacy = attrs.field(init=False)
     _lease: OwnershipLease = attrs.field(init=False)
     _config: ConfigWatch = attrs.field(init=False)
-    _access: Access = attrs.field(init=False)
-    _door: Door = attrs.field(init=False)
+    _access: KeyAuthorizer = attrs.field(init=False)
+    _job_frontend: JobFrontend = attrs.field(init=False)
     _peers: PeerClient = attrs.field(init=False)
     _servers: list[HttpServer] = attrs.field(factory=list)
-    _work: Background = attrs.field(factory=Background)
-    _look: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _was_ready: bool = False
-    _members: Membership = attrs.field(factory=Membership)
-    _contact: Contact = attrs.field(init=False)
+    _background: BackgroundTasks = attrs.field(factory=BackgroundTasks)
+    _lease_check_due: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _last_ready: bool = False
+    _membership: Membership = attrs.field(factory=Membership)
+    _reachability: Reachability = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         cfg = self.adapter.settings
         self.address = f"{cfg.ip}:{cfg.peer_port}"
-        self._place = f"{cfg.name}@{self.address}"
+        self._holder_prefix = f"{cfg.name}@{self.address}"
         self._peers = PeerClient(http=self.http)
-        self._contact = Contact(clock=self.clock)
+        self._reachability = Reachability(clock=self.clock)
         self._config = ConfigWatch(
             follower=self.adapter.config_follower(),
-            contact=self._contact,
+            reachability=self._reachability,
             clock=self.clock,
             bound_s=cfg.config_bound_s,
         )
-        self._access = Access(
+        self._access = KeyAuthorizer(
             config=lambda: self._config.follower.current,
             confirmed_at=lambda: self._config.confirmed_at,
             clock=self.clock,
@@ -99,43 +109,43 @@
             revoke_bound_s=cfg.revoke_bound_s,
         )
         self._candidacy = Candidacy(
-            own=strength(cfg.room), members=self._members, clock=self.clock
+            own=strength(cfg.room), members=self._membership, clock=self.clock
         )
         self._lease = OwnershipLease(
             table=self.adapter.store,
             clock=self.clock,
             key=OWNER_KEY,
-            holder=f"{self._place}#{secrets.token_hex(4)}",
+            holder=f"{self._holder_prefix}#{secrets.token_hex(4)}",
             lease_s=options.OWNER_LEASE_S,
-            acts_on_s=options.RENEW_AFTER_LAPSE_S,
+            grants_outlive_lease_s=options.RENEW_AFTER_LAPSE_S,
             is_dead=self._is_dead,
             strength=self._candidacy.own,
             defer_s=lambda row: self._candidacy.defer_s(row.strength),
             carries_bytes_s=cfg.room.carries_bytes_s(),
         )
-        self._door = Door(
+        self._job_frontend = JobFrontend(
             config=self._config.follower,
             access=self._access,
             store=self.adapter.store,
-            inbox=GroupedWriter(
+            inbox=BatchingWriter(
                 table=self.adapter.store,
                 clock=self.clock,
-                most=MOST_IN_INBOX_WRITE,
-                most_bytes=options.batch_bytes(cfg.room),
+                max_changes=MAX_JOBS_PER_INBOX_WRITE,
+                max_bytes=options.batch_bytes(cfg.room),
             ),
             peers=self._peers,
-            owner=self._held,
+            owner=self._active_owner,
             owner_address=self.owner_address,
             own_address=self.address,
             in_contact=self.in_contact,
             config_is_late=self._config.is_late,
             refused=self._suspect_owner,
-            left_in_inbox=self._tell_owner,
+            left_in_inbox=self._notify_owner,
             clock=self.clock,
         )
 
     address: str = attrs.field(init=False)
-    _place: str = attrs.field(init=False)
+    _holder_prefix: str = attrs.field(init=False)
 
     @property
     def url(self) -> str:
@@ -148,17 +158,17 @@
         A host that is cut off sends its callers elsewhere. In an outage of the
         table no host serves better than another: then all stay ready.
         """
-        connected = self.in_contact() or self._contact.connected()
+        reaches_outside = self.in_contact() or self._reachability.reaches_outside()
         config = self._config
-        known = config.follower.current is not None and not config.is_late()
-        ready = not self.draining and known and connected
-        if ready is not self._was_ready:
-            self._was_ready = ready
+        config_usable = config.follower.current is not None and not config.is_late()
+        ready = not self.draining and config_usable and reaches_outside
+        if ready is not self._last_ready:
+            self._last_ready = ready
             emit(
                 events.HostReadiness(
                     ready=ready,
-                    owner_s=round(self._contact.owner_age_s(), 2),
-                    table_s=round(self._contact.table_age_s(), 2),
+                    owner_s=round(self._reachability.owner_age_s(), 2),
+                    table_s=round(self._reachability.table_age_s(), 2),
                     config_late_s=round(config.late_s(), 2),
                 )
             )
@@ -166,22 +176,22 @@
 
     def in_contact(self) -> bool:
         """Tell whether the owner or the table were heard of lately."""
-        owner = self._held()
-        owns = owner is not None and owner.store_answers
-        return owns or self._contact.served()
+        owner = self._active_owner()
+        owner_connected = owner is not None and owner.store_answers
+        return owner_connected or self._reachability.reaches_owner_or_table()
 
     def owner_address(self) -> str:
         """Return where the owner answers, by the newest word of it."""
-        row = self._lease.seen()
-        if row is None or row.epoch < self._contact.hint.epoch:
-            return self._contact.hint.owner_at
+        row = self._lease.latest_row()
+        if row is None or row.epoch < self._reachability.owner_hint.epoch:
+            return self._reachability.owner_hint.owner_at
         if row.released:
             return ""
         return row.holder.partition("@")[2].partition("#")[0]
 
-    def exchange(self, req: Digest) -> DigestReply:
+    def answer_heartbeat(self, req: Heartbeat) -> HeartbeatReply:
         """Answer another host's digest."""
-        owner = self._held()
+        owner = self._active_owner()
         if owner is not None:
             return attrs.evolve(
                 owner.digest(req),
@@ -190,11 +200,11 @@
                 config=self._config.follower.version,
                 config_age_s=round(self._config.age_s(), 3),
             )
-        self._members.hear(req, self.clock.now())
-        return DigestReply(
+        self._membership.record_heartbeat(req, self.clock.now())
+        return HeartbeatReply(
             owner=False,
             holder=self._lease.holder,
-            epoch=max(self._lease.epoch, self._contact.hint.epoch),
+            epoch=max(self._lease.epoch, self._reachability.owner_hint.epoch),
             owner_at=self.owner_address(),
             config=self._config.follower.version,
             config_age_s=round(self._config.age_s(), 3),
@@ -210,27 +220,27 @@
         that they own, which the table's conditions, the workers' epochs and
         the successor's wait (`options.WorkerLeases`) make harmless.
         """
-        place, _, _ = holder.partition("#")
-        mine = place == self._place and holder != self._lease.holder
-        return mine or self._contact.suspects(holder)
+        host_id, _, _ = holder.partition("#")
+        restarted_here = host_id == self._holder_prefix and holder != self._lease.holder
+        return restarted_here or self._reachability.is_suspected(holder)
 
     def _suspect_owner(self, answered: str = "") -> None:
         """Note that the holder seen last does not run, and look at the row."""
-        row = self._lease.seen()
+        row = self._lease.latest_row()
         if row is None or row.released or row.holder in (answered, self._lease.holder):
             return
-        place, _, _ = row.holder.partition("#")
-        if answered and answered.partition("#")[0] != place:
+        host_id, _, _ = row.holder.partition("#")
+        if answered and answered.partition("#")[0] != host_id:
             return
         evidence = "another incarnation answers" if answered else "nobody listens"
         self._suspect(row.holder, evidence)
 
     def _suspect(self, holder: str, evidence: str) -> None:
         emit(events.OwnerSuspected(holder=holder, evidence=evidence))
-        self._contact.suspect(holder)
-        self._look.set()
+        self._reachability.suspect_owner(holder)
+        self._lease_check_due.set()
 
-    def _held(self) -> Owner | None:
+    def _active_owner(self) -> Owner | None:
         owner = self.owner
         return owner if owner is not None and owner.ready.is_set() else None
 
@@ -244,32 +254,34 @@
         """
         cfg = self.adapter.settings
         metrics = Metrics(role="node", name=cfg.name)
-        observe(Telemetry(metrics=metrics).take)
-        self._watch(metrics)
+        set_observer(Telemetry(metrics=metrics).record_event)
+        self._register_gauges(metrics)
         peers = PeerApi(
-            owner=self._held,
-            digest=self.exchange,
-            look=self._look_now,
+            owner=self._active_owner,
+            heartbeat=self.answer_heartbeat,
+            check_lease=self._check_lease_now,
             permits=self.adapter.permits,
             metrics=metrics,
             dump=self.dump,
         )
         await self._listen(self.adapter.readiness(self.is_ready), cfg.ready)
         await self._listen(peers.app(), self.address)
-        name_host(cfg.name)
+        set_host_name(cfg.name)
         emit(events.ProcessStarted(name=cfg.name, data_centre=cfg.data_centre))
-        for work in (
+        for loop in (
             self._config.run,
-            self._follow_settings,
-            self._stand,
-            self._exchange,
-            self._give_way,
+            self._poll_settings,
+            self._candidacy_loop,
+            self._heartbeat_loop,
+            self._handover_loop,
         ):
-            self._work.keep(work)
+            self._background.keep(loop)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_CONFIG_S):
-                await self._config.first.wait()
-        await self._listen(self.adapter.front(self._door, self.is_ready), cfg.front)
+            async with asyncio.timeout(FIRST_CONFIG_TIMEOUT_S):
+                await self._config.first_read_done.wait()
+        await self._listen(
+            self.adapter.front(self._job_frontend, self.is_ready), cfg.front
+        )
 
     async def _listen(self, app: Any, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -277,29 +289,29 @@
         await server.start()
         self._servers.append(server)
 
-    def _watch(self, metrics: Metrics) -> None:
+    def _register_gauges(self, metrics: Metrics) -> None:
         """Have gauges read this process's state."""
-        metrics.watch("log.lines.left_out", lambda: float(lines_left_out()))
-        metrics.watch("owner.epoch", lambda: float(self._lease.epoch))
-        metrics.watch("host.ready", lambda: float(self.is_ready()))
-        metrics.watch(
+        metrics.add_gauge("log.lines.left_out", lambda: float(dropped_lines()))
+        metrics.add_gauge("owner.epoch", lambda: float(self._lease.epoch))
+        metrics.add_gauge("host.ready", lambda: float(self.is_ready()))
+        metrics.add_gauge(
             "config.version",
             lambda: float(self._config.follower.version),
         )
-        metrics.watch("config.late", self._config.late_s)
-        metrics.watch("owner.lease.left", self._lease_left)
-        metrics.watch("tasks.pending", lambda: self._owned("pending"))
-        metrics.watch("tasks.held", lambda: self._owned("placed"))
-        metrics.watch("jobs.open", lambda: self._owned("open"))
+        metrics.add_gauge("config.late", self._config.late_s)
+        metrics.add_gauge("owner.lease.left", self._lease_left)
+        metrics.add_gauge("tasks.pending", lambda: self._owner_gauge("pending"))
+        metrics.add_gauge("tasks.held", lambda: self._owner_gauge("placed"))
+        metrics.add_gauge("jobs.open", lambda: self._owner_gauge("open"))
 
     def _lease_left(self) -> float:
         if not self._lease.is_holder:
             return 0.0
         return max(0.0, self._lease.valid_until() - self.clock.now())
 
-    def _owned(self, what: str) -> float:
-        owner = self._held()
-        return 0.0 if owner is None else float(owner.summary()[what])
+    def _owner_gauge(self, key: str) -> float:
+        owner = self._active_owner()
+        return 0.0 if owner is None else float(owner.summary()[key])
 
     async def drain(self) -> None:
         """Take no new callers, hand the ownership over, finish what is open."""
@@ -308,51 +320,51 @@
         emit(events.ProcessDraining(owner=self.owner is not None))
         if self.owner is not None:
             await self.owner.hand_over()
-            await self._tell_peers()
+            await self._notify_peers()
         spent_s = self.clock.now() - began
         await asyncio.sleep(balancer_wait_s(self.adapter.settings.grace_s, spent_s))
 
-    def _look_now(self) -> None:
+    def _check_lease_now(self) -> None:
         """A peer says that the owner's row, or the inbox, has changed."""
-        self._look.set()
-        owner = self._held()
+        self._lease_check_due.set()
+        owner = self._active_owner()
         if owner is not None:
-            owner.inbox.due.set()
+            owner.inbox.scan_requested.set()
 
-    def _tell_owner(self) -> None:
+    def _notify_owner(self) -> None:
         """Have the owner look into the inbox now."""
         address = self.owner_address()
-        if self._held() is not None:
-            self._look_now()
+        if self._active_owner() is not None:
+            self._check_lease_now()
         elif address:
-            self._work.spawn(self._tell(address))
+            self._background.spawn(self._send_inbox_notice(address))
 
-    async def _tell(self, address: str) -> None:
+    async def _send_inbox_notice(self, address: str) -> None:
         try:
-            await self._peers.look(address)
+            await self._peers.check_lease(address)
         except errors.PeerUnavailable as exc:
             LOG.debug("The owner was not told of the inbox: %s", exc)
 
-    async def _tell_peers(self) -> None:
+    async def _notify_peers(self) -> None:
         """Have the others look at the owner's row now, not at their next look."""
-        found = await asyncio.gather(
-            *(self._peers.look(address) for address in self._peer_addresses()),
+        results = await asyncio.gather(
+            *(self._peers.check_lease(address) for address in self._peer_addresses()),
             return_exceptions=True,
         )
-        for exc in found:
+        for exc in results:
             if isinstance(exc, BaseException):
                 LOG.info("A peer was not told of the release: %r", exc)
 
     async def stop(self) -> None:
         """Finish requests in flight and close every connection."""
         await asyncio.gather(*(server.stop() for server in self._servers))
-        await self._work.cancel()
+        await self._background.cancel()
         await self.http.close()
 
-    def reread(self) -> None:
+    def reload_settings(self) -> None:
         """Take in the platform's settings file anew."""
         try:
-            changed = self.adapter.reread()
+            changed = self.adapter.reload_settings()
         except errors.FindingsError as exc:
             emit(events.SettingsUnreadable(findings=str(exc)))
             return
@@ -363,11 +375,11 @@
             self._access.revoke_bound_s = cfg.revoke_bound_s
             emit(events.SettingsReread(changed=changed))
 
-    async def _follow_settings(self) -> None:
+    async def _poll_settings(self) -> None:
         """Notice changes of the settings file that no signal tells of."""
         while True:
-            await asyncio.sleep(SETTINGS_S)
-            self.reread()
+            await asyncio.sleep(SETTINGS_POLL_INTERVAL_S)
+            self.reload_settings()
 
     def dump(self) -> object:
         """Return this process's state."""
@@ -386,7 +398,7 @@
 
     # --- background -------------------------------------------------------------
 
-    async def _stand(self) -> None:
+    async def _candidacy_loop(self) -> None:
         """Stand for the ownership, and act while it is held.
 
         A host that drains goes on looking: it still answers the callers that
@@ -394,19 +406,19 @@
         """
         while True:
             try:
-                won = await self._look_at_row()
+                won = await self._check_lease()
             except errors.TableUnavailable as exc:
-                self._contact.lost_table()
+                self._reachability.record_table_failure()
                 LOG.debug("The owner's row was not read: %s", exc)
             else:
                 if won:
-                    await self._act()
+                    await self._run_owner()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._look_s()):
-                    await self._look.wait()
-            self._look.clear()
+                async with asyncio.timeout(self._lease_poll_interval_s()):
+                    await self._lease_check_due.wait()
+            self._lease_check_due.clear()
 
-    async def _look_at_row(self) -> bool:
+    async def _check_lease(self) -> bool:
         """Look at the owner's row; return whether the ownership was won."""
         began = self.clock.now()
         won = False
@@ -414,16 +426,20 @@
             await self._lease.look()
         else:
             won = await self._lease.acquire()
-        self._contact.looked(self.clock.now() - began)
+        self._reachability.record_row_read(self.clock.now() - began)
         return won
 
-    def _look_s(self) -> float:
-        heard = self._contact.owner_age_s() < OWNER_FRESH_S
-        return self._candidacy.look_s(self.address, owner_heard=heard)
+    def _lease_poll_interval_s(self) -> float:
+        answered_recently = self._reachability.owner_age_s() < OWNER_FRESH_S
+        return self._candidacy.poll_interval_s(
+            self.address, owner_answered_recently=answered_recently
+        )
 
-    async def _act(self) -> None:
+    async def _run_owner(self) -> None:
         emit(
-            events.OwnerWon(epoch=self._lease.epoch, silent=self._lease.takeover_silent)
+            events.OwnerWon(
+                epoch=self._lease.epoch, silent=self._lease.takeover_unreleased
+            )
         )
         self.owner = self._make_owner()
         try:
@@ -431,30 +447,30 @@
         finally:
             self.owner = None
             # An owner does not look at its row: what it knew of the table is old.
-            self._contact.lost_table()
+            self._reachability.record_table_failure()
 
-    async def _give_way(self) -> None:
+    async def _handover_loop(self) -> None:
         """Hand the ownership over where a much better host could hold it."""
         while True:
-            await asyncio.sleep(options.LOOK_S)
-            owner = self._held()
+            await asyncio.sleep(options.LEASE_POLL_INTERVAL_S)
+            owner = self._active_owner()
             if owner is None or not owner.store_answers or self.draining:
                 continue
-            if self._candidacy.should_give_way(owner.began_at):
+            if self._candidacy.should_hand_over(owner.took_over_at):
                 emit(events.OwnerGivesWay(epoch=owner.epoch))
-                self._candidacy.gave_way()
+                self._candidacy.note_handover()
                 await owner.hand_over()
-                await self._tell_peers()
+                await self._notify_peers()
 
     def _make_owner(self) -> Owner:
         cfg = self.adapter.settings
-        row = self._lease.seen()
-        believed = 0.0 if row is None else row.strength
+        row = self._lease.latest_row()
+        recorded_strength = 0.0 if row is None else row.strength
         permit_queue = PermitQueue(
             own=self.adapter.permits,
             own_address=self.address,
             peer_client=self._peers,
-            peers=self._helpers,
+            peers=self._permit_peers,
             clock=self.clock,
         )
         owner = Owner(
@@ -466,12 +482,14 @@
             clock=self.clock,
             leases=options.worker_leases(cfg.bounds),
             status_s=cfg.status_s,
-            peers=self._members,
+            peers=self._membership,
             spread_factor=cfg.spread_factor,
             batch_bytes=options.batch_bytes(cfg.room),
             pools=self._pools,
             access=self._access,
-            reading_limit_s=self._candidacy.reading_limit_s(believed),
+            takeover_read_timeout_s=self._candidacy.takeover_read_timeout_s(
+                recorded_strength
+            ),
         )
         owner.director = self._make_director(owner)
         return owner
@@ -490,7 +508,7 @@
             writer=self.adapter.store,
             status=self.adapter.wave_status,
             waves=lambda: self._config.follower.waves,
-            board=owner.board,
+            cluster_state=owner.cluster_state,
             holder=self.adapter.settings.name,
             epoch=lambda: owner.epoch,
             may_order=owner.may_order,
@@ -499,40 +517,46 @@
         )
 
     def _peer_addresses(self) -> tuple[str, ...]:
-        live = self._members.live(self.clock.now())
+        live = self._membership.live(self.clock.now())
         return tuple(peer.address for peer in live if peer.address != self.address)
 
-    def _helpers(self) -> tuple[str, ...]:
+    def _permit_peers(self) -> tuple[str, ...]:
         """Return the hosts through which permits are asked for, the best first."""
-        place = self.adapter.settings.data_centre
-        return self._members.helpers(self.clock.now(), place)
+        local = self.adapter.settings.data_centre
+        return self._membership.permit_peers(self.clock.now(), local)
 
-    async def _exchange(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         """Tell the owner of this host, and learn the queues' lengths."""
         while True:
             address = self.owner_address()
-            own = address == self.address
-            calm = own and self.in_contact()
-            if not calm:
-                if not address or own or not await self._ask_owner(address):
-                    await self._ask_elsewhere()
-            await asyncio.sleep(options.DIGEST_S)
-
-    def _digest(self) -> Digest:
+            is_own_address = address == self.address
+            owner_is_healthy = is_own_address and self.in_contact()
+            if not owner_is_healthy:
+                if (
+                    not address
+                    or is_own_address
+                    or not await self._send_heartbeat_to_owner(address)
+                ):
+                    await self._send_heartbeat_elsewhere()
+            await asyncio.sleep(options.HEARTBEAT_INTERVAL_S)
+
+    def _make_heartbeat(self) -> Heartbeat:
         cfg = self.adapter.settings
-        could_own = self._contact.table_age_s() < STORE_FRESH_S and not self.draining
-        return Digest(
+        eligible = (
+            self._reachability.table_age_s() < TABLE_FRESH_S and not self.draining
+        )
+        return Heartbeat(
             name=cfg.name,
             address=self.address,
             data_centre=cfg.data_centre,
-            strength=self._candidacy.own if could_own else 0.0,
-            peers_seen=self._members.learned,
+            strength=self._candidacy.own if eligible else 0.0,
+            peers_seen=self._membership.peer_list_version,
         )
 
-    async def _ask_owner(self, address: str) -> bool:
+    async def _send_heartbeat_to_owner(self, address: str) -> bool:
         asked_at = self.clock.now()
         try:
-            reply = await self._peers.digest(address, self._digest())
+            reply = await self._peers.heartbeat(address, self._make_heartbeat())
         except errors.NotSent:
             self._suspect_owner()
             return False
@@ -542,35 +566,39 @@
         if not reply.owner and reply.holder:
             self._suspect_owner(reply.holder)
         now = self.clock.now()
-        self._take_hint(reply, asked_at)
+        self._apply_hint(reply, asked_at)
         if reply.owner:
-            self._contact.heard_owner()
-            if self._contact.owner_is_alone(reply.table_silent_s):
+            self._reachability.record_owner_answer()
+            if self._reachability.owner_lost_table(reply.table_silent_s):
                 self._suspect(reply.holder, "it lost the table")
             else:
-                self._contact.trust()
-            self._door.digest = reply
-            self._door.digest_at = now
-            self._members.learn(reply, now)
+                self._reachability.clear_suspicion()
+            self._job_frontend.heartbeat = reply
+            self._job_frontend.heartbeat_at = now
+            self._membership.apply_peer_list(reply, now)
         return reply.owner
 
-    def _take_hint(self, reply: DigestReply, asked_at: float) -> None:
-        self._contact.take_hint(reply)
-        self._config.hear(reply.config, asked_at=asked_at, age_s=reply.config_age_s)
+    def _apply_hint(self, reply: HeartbeatReply, asked_at: float) -> None:
+        self._reachability.update_owner_hint(reply)
+        self._config.note_version(
+            reply.config, asked_at=asked_at, age_s=reply.config_age_s
+        )
 
-    async def _ask_elsewhere(self) -> None:
+    async def _send_heartbeat_elsewhere(self) -> None:
         """Find out whether any other data centre can be reached."""
         cfg = self.adapter.settings
-        others = self._members.elsewhere(cfg.data_centre, self.address)
-        for address in others[:MOST_ASKED]:
+        addresses = self._membership.in_other_data_centres(
+            cfg.data_centre, self.address
+        )
+        for address in addresses[:MAX_PROBED_PEERS]:
             asked_at = self.clock.now()
             try:
-                reply = await self._peers.digest(address, self._digest())
+                reply = await self._peers.heartbeat(address, self._make_heartbeat())
             except errors.PeerUnavailable as exc:
                 LOG.debug("A peer did not answer: %s", exc)
                 continue
-            self._take_hint(reply, asked_at)
-            self._contact.heard_place()
+            self._apply_hint(reply, asked_at)
+            self._reachability.record_remote_answer()
             return
 
 
@@ -581,4 +609,4 @@
         grace_s: How long the platform gives a process to stop.
         spent_s: How much of that handing over has taken.
     """
-    return max(0.0, min(BALANCER_S, grace_s - spent_s - FINISH_S))
+    return max(0.0, min(BALANCER_DRAIN_S, grace_s - spent_s - IN_FLIGHT_MARGIN_S))
--- a/cranberrycleat/workflow/ordering.py
+++ b/cranberrycleat/workflow/ordering.py
@@ -19,9 +19,9 @@
 (the platform's page on benefit)."""
 
 
-SERVICES: Final = -1
+SERVICE_BAND: Final = -1
 """A service earns only while its members are at work."""
-WORTHLESS: Final = 2
+EXPIRED_BAND: Final = 2
 """The band of what can earn nothing any more."""
 
 
@@ -50,29 +50,29 @@
 Urgency = tuple[int, int, float, str]
 
 
-def chain_s(job: Job, first: int = 0) -> float:
+def critical_path_s(job: Job, first: int = 0) -> float:
     """Return the run time of a job's longest chain of steps, as estimated."""
     lengths: list[float] = []
     for step in job.spec.steps:
-        before = max((lengths[number] for number in step.after), default=0.0)
-        lengths.append(before + step.estimate_s)
+        predecessors_s = max((lengths[number] for number in step.after), default=0.0)
+        lengths.append(predecessors_s + step.estimate_s)
     return max(lengths, default=0.0)
 
 
-def remaining_s(step: StepRun) -> float:
+def remaining_critical_path_s(step: StepRun) -> float:
     """Return the longest chain that begins with a step."""
     steps = step.job.spec.steps
-    tails = [0.0] * len(steps)
+    path_s = [0.0] * len(steps)
     for number in range(len(steps) - 1, -1, -1):
-        tails[number] += steps[number].estimate_s
+        path_s[number] += steps[number].estimate_s
         for earlier in steps[number].after:
-            tails[earlier] = max(tails[earlier], tails[number])
-    return tails[step.number]
+            path_s[earlier] = max(path_s[earlier], path_s[number])
+    return path_s[step.number]
 
 
 def objective_s(job: Job) -> float:
     """Return how long a job may take from its hand-in, in seconds."""
-    return job.queue.stretch * chain_s(job) + job.queue.objective_s
+    return job.queue.stretch * critical_path_s(job) + job.queue.objective_s
 
 
 def due_s(step: StepRun) -> float:
@@ -89,15 +89,15 @@
     if step.urgency is None:
         objective = objective_s(job)
         step.urgency = StepUrgency(
-            latest_start_s=due_s(step) + objective - remaining_s(step),
-            may_be_late_s=(LATE_FACTOR - 1) * objective,
+            latest_start_s=due_s(step) + objective - remaining_critical_path_s(step),
+            tolerated_lateness_s=(LATE_FACTOR - 1) * objective,
         )
     slack = step.urgency.latest_start_s - now_s
-    late_slack = slack + step.urgency.may_be_late_s
+    late_slack = slack + step.urgency.tolerated_lateness_s
     if step.spec.service:
-        band = SERVICES
+        band = SERVICE_BAND
     elif slack >= 0:
         band = 0
     else:
-        band = 1 if late_slack >= 0 else WORTHLESS
+        band = 1 if late_slack >= 0 else EXPIRED_BAND
     return Rank(band=band, priority=job.queue.priority, slack_s=slack, name=step.name)
--- a/cranberrycleat/workflow/owner.py
+++ b/cranberrycleat/workflow/owner.py
@@ -17,63 +17,68 @@
 from cranberrycleat import errors, events
 from cranberrycleat.amounts import NOTHING
 from cranberrycleat.clock import Clock
-from cranberrycleat.lease import Changes, Deposed, OwnershipLease
-from cranberrycleat.lifecycle import Background
+from cranberrycleat.lease import Changes, LeaseLost, OwnershipLease
+from cranberrycleat.lifecycle import BackgroundTasks
 from cranberrycleat.logs import emit, part_logger
 from cranberrycleat.workflow import incarnations, options
-from cranberrycleat.workflow.access import Access
+from cranberrycleat.workflow.access import KeyAuthorizer
 from cranberrycleat.workflow.answer_timeout import AnswerTimeout
-from cranberrycleat.workflow.batches import Batch, forget_ended, note_stored, take_batch
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.directory import Directory
+from cranberrycleat.workflow.batches import (
+    Batch,
+    note_stored,
+    purge_ended_jobs,
+    take_batch,
+)
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.directory import WorkerDirectory
+from cranberrycleat.workflow.dispatcher import Dispatcher
 from cranberrycleat.workflow.feasibility import (
-    RETRY_S,
-    SETTLING_RETRY_S,
-    why_hopeless,
-    why_over,
+    RETRY_AFTER_S,
+    SETTLING_RETRY_AFTER_S,
+    infeasibility_reason,
+    quota_violation_reason,
 )
 from cranberrycleat.workflow.fleet import FleetWorker
 from cranberrycleat.workflow.inbox import Inbox
 from cranberrycleat.workflow.links import WorkerLink
 from cranberrycleat.workflow.membership import Membership
 from cranberrycleat.workflow.peering import (
-    Digest,
-    DigestReply,
-    JobAnswer,
+    Heartbeat,
+    HeartbeatReply,
+    JobReply,
     QueueLength,
     SubmitReply,
     SubmitRequest,
 )
 from cranberrycleat.workflow.permit_queue import PermitQueue
 from cranberrycleat.workflow.ports import FeedTable, WorkerClient
-from cranberrycleat.workflow.roster import MISSING_S, Roster
-from cranberrycleat.workflow.signal import Signal
-from cranberrycleat.workflow.starts import Starts
+from cranberrycleat.workflow.repeating_event import RepeatingEvent
+from cranberrycleat.workflow.roster import MISSING_ENTRY_GRACE_S, Roster
 from cranberrycleat.workflow.state import Job, JobState, TaskState
 from cranberrycleat.workflow.takeover import StoredRows, read_all, restore
 from cranberrycleat.workflow.upkeep_director import UpkeepDirector
 
 LOG: Final[logging.Logger] = part_logger("owner")
-STORE_SILENT: Final = "the table does not answer"
-HAND_OVER_S: Final = 2.0
-STORE_ON_S: Final = 0.3
+TABLE_UNAVAILABLE_REASON: Final = "the table does not answer"
+HANDOVER_TIMEOUT_S: Final = 2.0
+HANDOVER_STORE_LIMIT_S: Final = 0.3
 """How long an owner that hands over goes on storing what comes in: some thirty
 transactions of a calm store, one of a store that is slowed 60 times. There it never
 came to an end within 2 s; the lease, 2.9 s long there, had to run out, and nobody
 owned for 4.3 s while a burst was on."""
-SILENT_S: Final = 0.8
+TABLE_DOWN_AFTER_S: Final = 0.8
 """A table that left a transaction unanswered for so long counts as down."""
 CHANGE_LIMIT_S: Final = 0.7
 """How long a caller's change may take to be stored before nobody waits for it."""
 
 
-TELL_WORKERS_S: Final = 5.0
-END_STORED_S: Final = 0.12
+WORKER_REPORT_INTERVAL_S: Final = 5.0
+END_STORED_TIMEOUT_S: Final = 0.12
 """How long a question waits for an end that is being stored. That takes 0.03 s in a
 calm table; a door waits 0.2 s for the owner before it reads the table itself."""
 
 
-class TakeoverTooSlow(Exception):
+class TakeoverTimeout(Exception):
     """A host could not read the rows in the time that it had; nothing was decided."""
 
 
@@ -108,7 +113,7 @@
 
     lease: OwnershipLease
     store: FeedTable
-    directory: Directory
+    directory: WorkerDirectory
     client: WorkerClient
     permit_queue: PermitQueue
     clock: Clock
@@ -116,37 +121,39 @@
     status_s: float
     peers: Membership
     spread_factor: float = 1.0
-    reading_limit_s: float | None = None
-    batch_bytes: int = options.MOST_BATCH_BYTES
+    takeover_read_timeout_s: float | None = None
+    batch_bytes: int = options.MAX_BATCH_BYTES
     director: UpkeepDirector | None = None
     pools: Callable[[], frozenset[str] | None] = lambda: None
-    access: Access | None = None
-    board: Board = attrs.field(factory=Board)
+    access: KeyAuthorizer | None = None
+    cluster_state: ClusterState = attrs.field(factory=ClusterState)
     links: dict[str, WorkerLink] = attrs.field(factory=dict)
     ready: asyncio.Event = attrs.field(factory=asyncio.Event)
     store_answers: bool = True
-    closing: bool = False
-    _closing_at: float = float("inf")
-    began_at: float = 0.0
-    list_settled_at: float = 0.0
-    _told_at: float = float("-inf")
+    handing_over: bool = False
+    _handover_began_at: float = float("inf")
+    took_over_at: float = 0.0
+    worker_list_settled_at: float = 0.0
+    _workers_reported_at: float = float("-inf")
     _changed: asyncio.Event = attrs.field(factory=asyncio.Event)
     _plan_due: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _stored: Signal = attrs.field(factory=Signal)
+    _stored: RepeatingEvent = attrs.field(factory=RepeatingEvent)
     _ended: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _work: Background = attrs.field(factory=Background)
+    _background_tasks: BackgroundTasks = attrs.field(factory=BackgroundTasks)
     _answer_timeout: AnswerTimeout = attrs.field(factory=AnswerTimeout)
     _old_leases_over_at: float = 0.0
     inbox: Inbox = attrs.field(init=False)
     roster: Roster = attrs.field(init=False)
-    starts: Starts = attrs.field(init=False)
+    dispatcher: Dispatcher = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         if self.access is not None:
-            self.board.quotas.quotas = self.access.quotas
-        self.inbox = Inbox(board=self.board, store=self.store, changed=self.changed)
+            self.cluster_state.quotas.quotas = self.access.quotas
+        self.inbox = Inbox(
+            cluster_state=self.cluster_state, store=self.store, changed=self.changed
+        )
         self.roster = Roster(
-            board=self.board,
+            cluster_state=self.cluster_state,
             directory=self.directory,
             members=self.peers,
             links=self.links,
@@ -155,14 +162,14 @@
             changed=self.changed,
             pools=self.pools,
         )
-        self.starts = Starts(
-            board=self.board,
+        self.dispatcher = Dispatcher(
+            cluster_state=self.cluster_state,
             permit_queue=self.permit_queue,
             links=self.links,
             clock=self.clock,
             changed=self.changed,
             stored=self._stored,
-            work=self._work,
+            work=self._background_tasks,
             plan_due=self._plan_due,
             spread_factor=self.spread_factor,
         )
@@ -176,7 +183,7 @@
 
     def may_order(self) -> bool:
         """Tell whether orders may be given at this very moment."""
-        return not self.closing and self.lease.authority()
+        return not self.handing_over and self.lease.is_valid()
 
     def may_renew(self) -> bool:
         """Tell whether leases of what runs may be renewed.
@@ -184,7 +191,7 @@
         Beyond the ownership lease this goes on for a bounded time, so that
         work outlives a short outage of the store.
         """
-        if self.closing or not self.lease.is_holder:
+        if self.handing_over or not self.lease.is_holder:
             return False
         until = self.lease.valid_until() + options.RENEW_AFTER_LAPSE_S
         return self.clock.now() < until
@@ -192,7 +199,7 @@
     def fenced(self) -> None:
         """A worker has seen a later owner."""
         emit(events.OwnerLost(epoch=self.epoch, reason="a worker saw a later one"))
-        self.lease.depose()
+        self.lease.mark_lost()
         self._ended.set()
 
     def changed(self) -> None:
@@ -200,16 +207,16 @@
         self._changed.set()
         self._plan_due.set()
 
-    async def confirmed(self, limit_s: float) -> None:
+    async def batch_stored(self, limit_s: float) -> None:
         """Wait until a batch was stored, at most that long."""
         self._changed.set()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 await self._stored.wait()
 
-    def restarted(self, worker: FleetWorker, born_ms: int) -> None:
+    def worker_restarted(self, worker: FleetWorker, born_ms: int) -> None:
         """Another incarnation answers under a worker's identity."""
-        self.roster.restarted(worker, born_ms)
+        self.roster.worker_restarted(worker, born_ms)
         self.changed()
 
     # --- life -----------------------------------------------------------------
@@ -218,28 +225,28 @@
         """Take over, and decide until the lease is lost."""
         try:
             await self._take_over()
-            for work in (
+            for loop in (
                 self._store_loop,
                 self._plan_loop,
                 self._directory_loop,
                 self.inbox.run,
                 self._tick_loop,
             ):
-                self._work.keep(work)
+                self._background_tasks.keep(loop)
             if self.director is not None:
-                self._work.keep(self.director.run)
-            self.began_at = self.clock.now()
-            self.list_settled_at = self.began_at + MISSING_S
-            self.lease.settle()
+                self._background_tasks.keep(self.director.run)
+            self.took_over_at = self.clock.now()
+            self.worker_list_settled_at = self.took_over_at + MISSING_ENTRY_GRACE_S
+            self.lease.mark_established()
             self.ready.set()
             self.changed()
             await self._ended.wait()
-        except Deposed:
+        except LeaseLost:
             emit(events.OwnerLost(epoch=self.epoch, reason="deposed in its takeover"))
-        except TakeoverTooSlow:
+        except TakeoverTimeout:
             LOG.warning("The rows were not read in time: a better host may own.")
         finally:
-            await self._work.cancel()
+            await self._background_tasks.cancel()
 
     async def hand_over(self) -> None:
         """Give up the ownership in order: stop ordering, store, release.
@@ -248,36 +255,38 @@
         both are conditional on the same row, and the loser would leave the
         lease to run out.
         """
-        self.closing = True
-        self._closing_at = self.clock.now()
+        self.handing_over = True
+        self._handover_began_at = self.clock.now()
         self._changed.set()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(HAND_OVER_S):
+            async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 await self._ended.wait()
         self._ended.set()
 
     async def _take_over(self) -> None:
-        waits_s = self.leases.successor_waits_s(self.lease.inherited_s)
+        waits_s = self.leases.successor_wait_s(self.lease.inherited_s)
         began = self.clock.now()
         self._old_leases_over_at = began + waits_s
         if self.epoch > 1:
             # Which machines fell before, only the earlier owner knew.
-            self.board.fleet.falls.watched_since = began
+            self.cluster_state.fleet.worker_failures.observing_since = began
         stored = await self._read_rows()
-        restore(self.board, stored)
-        self.inbox.take(stored.inbox)
+        restore(self.cluster_state, stored)
+        self.inbox.accept_rows(stored.inbox)
         self.roster.refresh()
-        self.board.adopt(self.clock.now())
-        self.roster.link_adopted()
-        for worker in self.board.fleet.workers.values():
-            worker.leases_over_at = self._old_leases_over_at
-            if incarnations.may_have_restarted(worker, self.board.time_of_day()):
-                worker.outlive(began + self.leases.bounds.longest_s())
-        workers = self.board.fleet.workers.values()
+        self.cluster_state.adopt(self.clock.now())
+        self.roster.link_unlisted_incarnations()
+        for worker in self.cluster_state.fleet.workers.values():
+            worker.leases_end_at = self._old_leases_over_at
+            if incarnations.may_have_restarted(
+                worker, self.cluster_state.time_of_day()
+            ):
+                worker.extend_leases_until(began + self.leases.bounds.max_run_on_s())
+        workers = self.cluster_state.fleet.workers.values()
         emit(
             events.OwnerTookOver(
                 epoch=self.epoch,
-                jobs=len(self.board.jobs),
+                jobs=len(self.cluster_state.jobs),
                 placed=sum(len(each.placements) for each in workers),
                 workers=len(self.links),
                 waits_s=round(waits_s, 2),
@@ -292,26 +301,26 @@
             TakeoverTooSlow: It was not read in time; the ownership is released.
         """
         try:
-            async with asyncio.timeout(self.reading_limit_s):
+            async with asyncio.timeout(self.takeover_read_timeout_s):
                 return await read_all(self.lease, self.store, self.directory)
         except TimeoutError:
             emit(events.OwnerGivesWay(epoch=self.epoch))
             await self._release()
-            raise TakeoverTooSlow from None
+            raise TakeoverTimeout from None
 
     # --- storing ----------------------------------------------------------------
 
     async def _store_loop(self) -> None:
         while not self._ended.is_set():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(options.RENEW_S):
+                async with asyncio.timeout(options.LEASE_RENEW_INTERVAL_S):
                     await self._changed.wait()
             self._changed.clear()
-            await asyncio.sleep(options.GATHER_S)
-            batch = take_batch(self.board, self.batch_bytes)
+            await asyncio.sleep(options.STORE_BATCH_DELAY_S)
+            batch = take_batch(self.cluster_state, self.batch_bytes)
             try:
                 await self._store(batch)
-            except Deposed:
+            except LeaseLost:
                 emit(events.OwnerLost(epoch=self.epoch, reason="the row has another"))
                 self._ended.set()
                 return
@@ -321,33 +330,37 @@
                 LOG.exception("Storing failed; the ownership is given up.")
                 await self._release()
                 return
-            if self.closing and (not self.board.dirty or self._has_stored_enough()):
+            if self.handing_over and (
+                not self.cluster_state.dirty or self._is_past_handover_store_limit()
+            ):
                 await self._release()
-            elif self.board.dirty:
+            elif self.cluster_state.dirty:
                 self._changed.set()
 
-    def _has_stored_enough(self) -> bool:
+    def _is_past_handover_store_limit(self) -> bool:
         """Tell whether a hand-over need not wait for what is still to be stored.
 
         Nothing of that was told to anybody or acted on, and workers tell their
         ends again. In a slow store there is always something left.
         """
-        return self.clock.now() - self._closing_at > STORE_ON_S
+        return self.clock.now() - self._handover_began_at > HANDOVER_STORE_LIMIT_S
 
     async def _release(self) -> None:
         try:
             await self.lease.release()
-        except (errors.TableUnavailable, Deposed) as exc:
+        except (errors.TableUnavailable, LeaseLost) as exc:
             LOG.warning("The ownership was not released: %r", exc)
         else:
             emit(events.OwnerReleased(epoch=self.epoch))
         self._ended.set()
 
     async def _store(self, batch: Batch) -> None:
-        forget = forget_ended(
-            self.board,
-            self.board.time_of_day() - self.status_s - options.FORGET_MARGIN_S,
-            0 if batch.puts else options.FORGET_AT_ONCE,
+        forget = purge_ended_jobs(
+            self.cluster_state,
+            self.cluster_state.time_of_day()
+            - self.status_s
+            - options.RETENTION_MARGIN_S,
+            0 if batch.puts else options.MAX_DELETES_PER_BATCH,
         )
         changes = Changes(puts=batch.puts, deletes=(*batch.deletes, *forget))
         since = self.clock.now()
@@ -356,19 +369,21 @@
                 await self.lease.commit(changes)
                 break
             except errors.TableUnavailable as exc:
-                self._note_silence(exc, since)
-                await asyncio.sleep(options.STORE_RETRY_S)
+                self._note_table_unavailable(exc, since)
+                await asyncio.sleep(options.STORE_RETRY_INTERVAL_S)
         if not self.store_answers:
             emit(events.TableBack(after_s=round(self.clock.now() - since, 2)))
-            self.list_settled_at = self.clock.now() + MISSING_S
+            self.worker_list_settled_at = self.clock.now() + MISSING_ENTRY_GRACE_S
         self.store_answers = True
-        note_stored(self.board, batch)
+        note_stored(self.cluster_state, batch)
         self._stored.fire()
 
-    def _note_silence(self, exc: errors.TableUnavailable, since: float) -> None:
+    def _note_table_unavailable(
+        self, exc: errors.TableUnavailable, since: float
+    ) -> None:
         """Refuse new work once the table is down, not at one lost answer."""
         refused = isinstance(exc, errors.TableRefused)
-        if not refused and self.clock.now() - since < SILENT_S:
+        if not refused and self.clock.now() - since < TABLE_DOWN_AFTER_S:
             emit(events.TableSilent(reason=str(exc), down=False))
             return
         if self.store_answers:
@@ -382,25 +397,25 @@
             await self._plan_due.wait()
             self._plan_due.clear()
             if not self.may_order():
-                await asyncio.sleep(options.TICK_S)
+                await asyncio.sleep(options.TASK_LOOP_INTERVAL_S)
                 self._plan_due.set()
                 continue
             began = self.clock.now()
-            self.starts.plan()
+            self.dispatcher.plan()
             self.stop_soon()
             # In a backlog a round takes longer: all else gets as much time.
             took_s = self.clock.now() - began
-            await asyncio.sleep(max(options.GATHER_S, took_s))
+            await asyncio.sleep(max(options.STORE_BATCH_DELAY_S, took_s))
 
     # --- workers ----------------------------------------------------------------
 
     async def _directory_loop(self) -> None:
         met = self.pools()
         while True:
-            await asyncio.sleep(self.list_pause_s())
+            await asyncio.sleep(self.worker_list_interval_s())
             try:
                 changed = await self.directory.refresh()
-                self.roster.read_at = self.clock.now()
+                self.roster.list_read_at = self.clock.now()
                 if changed or met != self.pools():
                     met = self.pools()
                     self.roster.refresh()
@@ -408,19 +423,19 @@
             except errors.TableUnavailable as exc:
                 LOG.debug("The list of workers was not read: %s", exc)
 
-    def list_pause_s(self) -> float:
+    def worker_list_interval_s(self) -> float:
         """Return how long to wait before the list of workers is read again."""
-        if self._list_is_settled():
-            return options.DIRECTORY_S
-        return options.DIRECTORY_SOON_S
+        if self._is_worker_list_settled():
+            return options.DIRECTORY_POLL_INTERVAL_S
+        return options.DIRECTORY_FAST_POLL_INTERVAL_S
 
-    def _list_is_settled(self) -> bool:
-        return self.clock.now() > self.list_settled_at
+    def _is_worker_list_settled(self) -> bool:
+        return self.clock.now() > self.worker_list_settled_at
 
     def _link(self, worker: FleetWorker) -> None:
         link = WorkerLink(
             worker=worker,
-            board=self.board,
+            cluster_state=self.cluster_state,
             client=self.client,
             owner=self,
             clock=self.clock,
@@ -429,32 +444,34 @@
             answer_timeout=self._answer_timeout,
         )
         self.links[worker.name] = link
-        self._work.keep(link.run)
+        self._background_tasks.keep(link.run)
 
     async def _tick_loop(self) -> None:
         while True:
-            await asyncio.sleep(options.TICK_S)
+            await asyncio.sleep(options.TASK_LOOP_INTERVAL_S)
             now = self.clock.now()
             self.roster.check_all(now)
-            due = self.board.next_due_s()
-            if due is not None and due <= self.board.time_of_day():
-                self.board.open_all_due()
+            due = self.cluster_state.next_due_s()
+            if due is not None and due <= self.cluster_state.time_of_day():
+                self.cluster_state.open_all_due_occurrences()
                 self.changed()
-            if self.board.waiting:
+            if self.cluster_state.waiting:
                 self._plan_due.set()
-            if now >= self._told_at + TELL_WORKERS_S:
-                self._told_at = now
-                self._tell_workers(now)
-
-    def _tell_workers(self, now: float) -> None:
-        workers = self.board.fleet.workers.values()
-        found = collections.Counter(each.obstacle(now) for each in workers)
+            if now >= self._workers_reported_at + WORKER_REPORT_INTERVAL_S:
+                self._workers_reported_at = now
+                self._report_workers(now)
+
+    def _report_workers(self, now: float) -> None:
+        workers = self.cluster_state.fleet.workers.values()
+        found = collections.Counter(
+            worker.unavailable_reason(now) for worker in workers
+        )
         drawing = found.pop(None, 0)
         emit(
             events.WorkersDrawing(
                 drawing=drawing,
                 obstacles={str(name): number for name, number in found.items()},
-                steps_waiting=len(self.board.waiting),
+                steps_waiting=len(self.cluster_state.waiting),
             )
         )
 
@@ -467,51 +484,62 @@
             NotOwner: It was not taken in; the next owner may.
             PeerUnavailable: It is unknown whether it was accepted.
         """
-        known = self.board.jobs.get(req.job_id)
+        known = self.cluster_state.jobs.get(req.job_id)
         if known is not None and not known.is_visible_to(req.access.workspace):
             return SubmitReply(foreign=True)
-        if req.job_id in self.board.shown or req.job_id in self.board.unreadable:
+        if (
+            req.job_id in self.cluster_state.reported
+            or req.job_id in self.cluster_state.unreadable
+        ):
             return SubmitReply(accepted=True)
         if known is None:
             if self.access is not None and not self.access.still_grants(req.access):
                 return SubmitReply(denied=True, reason="the key was taken away")
-            if self.closing:
+            if self.handing_over:
                 raise errors.NotOwner("the ownership is being handed over")
             if not self.store_answers or not self.may_order():
-                return SubmitReply(refused=True, reason=STORE_SILENT)
-            quota = self.board.quotas.quota_of(req.access.workspace)
-            workers = self.board.fleet.of_pool(req.queue.pool)
-            hopeless = why_hopeless(req.spec, workers) or why_over(req.spec, quota)
-            if hopeless:
-                retry_s = RETRY_S if self._list_is_settled() else SETTLING_RETRY_S
-                return SubmitReply(refused=True, reason=hopeless, retry_after_s=retry_s)
-            self.board.accept(
+                return SubmitReply(refused=True, reason=TABLE_UNAVAILABLE_REASON)
+            quota = self.cluster_state.quotas.quota_of(req.access.workspace)
+            workers = self.cluster_state.fleet.workers_in_pool(req.queue.pool)
+            infeasible = infeasibility_reason(
+                req.spec, workers
+            ) or quota_violation_reason(req.spec, quota)
+            if infeasible:
+                retry_s = (
+                    RETRY_AFTER_S
+                    if self._is_worker_list_settled()
+                    else SETTLING_RETRY_AFTER_S
+                )
+                return SubmitReply(
+                    refused=True, reason=infeasible, retry_after_s=retry_s
+                )
+            self.cluster_state.accept(
                 req.job_id, req.queue, req.spec, workspace=req.access.workspace
             )
             self.changed()
         began = self.clock.now()
-        shown = self.board.shown
-        if await self._until_stored(lambda: req.job_id in shown, CHANGE_LIMIT_S):
+        reported = self.cluster_state.reported
+        if await self._until_stored(lambda: req.job_id in reported, CHANGE_LIMIT_S):
             return SubmitReply(accepted=True)
-        if not self.store_answers and self.board.withdraw(req.job_id):
+        if not self.store_answers and self.cluster_state.withdraw(req.job_id):
             waited_s = round(self.clock.now() - began, 3)
             emit(events.JobWithdrawn(job=req.job_id, after_s=waited_s))
-            return SubmitReply(refused=True, reason=STORE_SILENT)
+            return SubmitReply(refused=True, reason=TABLE_UNAVAILABLE_REASON)
         raise errors.PeerUnavailable("not known to be stored")
 
-    def state(self, job_id: str, workspace: str = "") -> JobAnswer:
+    def state(self, job_id: str, workspace: str = "") -> JobReply:
         """Return the stored state of a job, as a workspace's callers are told."""
-        state = self.board.shown.get(job_id)
+        state = self.cluster_state.reported.get(job_id)
         if state is None or self._visible_job(job_id, workspace) is None:
-            return JobAnswer(owner=True)
-        return JobAnswer(owner=True, known=True, state=state.value)
+            return JobReply(owner=True)
+        return JobReply(owner=True, known=True, state=state.value)
 
     def _visible_job(self, job_id: str, workspace: str) -> Job | None:
         """Return a job that a workspace's callers may be told of."""
-        job = self.board.jobs.get(job_id)
+        job = self.cluster_state.jobs.get(job_id)
         return job if job is not None and job.is_visible_to(workspace) else None
 
-    async def settled_state(self, job_id: str, workspace: str = "") -> JobAnswer:
+    async def settled_state(self, job_id: str, workspace: str = "") -> JobReply:
         """Return a job's state, after the write that is about to end it.
 
         Callers ask when they expect a job to have ended, and again 0.25 s later. Of
@@ -521,12 +549,14 @@
         """
         job = self._visible_job(job_id, workspace)
         if job is not None and job.verdict is not None and self.store_answers:
-            await self._until_stored(lambda: self._is_shown(job), END_STORED_S)
+            await self._until_stored(
+                lambda: self._is_verdict_stored(job), END_STORED_TIMEOUT_S
+            )
         return self.state(job_id, workspace)
 
-    def _is_shown(self, job: Job) -> bool:
+    def _is_verdict_stored(self, job: Job) -> bool:
         """Tell whether callers are told what became of a final job."""
-        return self.board.shown.get(job.job_id) is job.verdict
+        return self.cluster_state.reported.get(job.job_id) is job.verdict
 
     async def _until_stored(self, holds: Callable[[], bool], limit_s: float) -> bool:
         """Wait for batches until something holds; return whether it does."""
@@ -536,7 +566,7 @@
                     await self._stored.wait()
         return holds()
 
-    async def cancel(self, job_id: str, workspace: str = "") -> JobAnswer:
+    async def cancel(self, job_id: str, workspace: str = "") -> JobReply:
         """Cancel a job; the answer comes when that is stored.
 
         Raises:
@@ -544,13 +574,15 @@
         """
         job = self._visible_job(job_id, workspace)
         if job is None:
-            return JobAnswer(owner=True)
-        self.board.cancel(job_id)
+            return JobReply(owner=True)
+        self.cluster_state.cancel(job_id)
         self.changed()
         self.stop_soon()
-        if not await self._until_stored(lambda: self._is_shown(job), CHANGE_LIMIT_S):
+        if not await self._until_stored(
+            lambda: self._is_verdict_stored(job), CHANGE_LIMIT_S
+        ):
             raise errors.PeerUnavailable("not known to be stored")
-        return JobAnswer(owner=True, known=True, state=job.state().value)
+        return JobReply(owner=True, known=True, state=job.state().value)
 
     def stop_soon(self) -> None:
         """Order the stops that the board asks for, now.
@@ -558,22 +590,22 @@
         Only on the workers that it names: with 270 of them a look at each, for each
         round and each cancelling, was 3% of what an owner did.
         """
-        for name in self.board.take_stops_due():
+        for name in self.cluster_state.take_stops_due():
             link = self.links.get(name)
             if link is not None:
                 link.stop_soon()
 
-    def digest(self, req: Digest) -> DigestReply:
+    def digest(self, req: Heartbeat) -> HeartbeatReply:
         """Exchange digests with another host."""
         now = self.clock.now()
-        self.peers.hear(req, now)
-        version, peers = self.peers.listing(now, req.peers_seen)
-        return DigestReply(
-            owner=self.lease.authority(),
+        self.peers.record_heartbeat(req, now)
+        version, peers = self.peers.peer_list(now, req.peers_seen)
+        return HeartbeatReply(
+            owner=self.lease.is_valid(),
             epoch=self.epoch,
             lengths=tuple(
                 QueueLength(queue=name, waiting=len(jobs))
-                for name, jobs in self.board.unstarted.items()
+                for name, jobs in self.cluster_state.unstarted.items()
                 if name
             ),
             peers_version=version,
@@ -583,9 +615,9 @@
 
     def workspaces(self) -> dict[str, dict[str, object]]:
         """Return what each workspace has and waits for, for the state dump."""
-        quotas = self.board.quotas
+        quotas = self.cluster_state.quotas
         waiting: collections.Counter[str] = collections.Counter()
-        for step in self.board.waiting.values():
+        for step in self.cluster_state.waiting.values():
             waiting[step.job.workspace] += len(step.pending())
         return {
             name: {
@@ -599,18 +631,24 @@
 
     def summary(self) -> dict[str, int]:
         """Return counts for logs and the state dump."""
-        placed = sum(len(w.placements) for w in self.board.fleet.workers.values())
-        open_jobs = [job for job in self.board.jobs.values() if job.verdict is None]
+        placed = sum(
+            len(w.placements) for w in self.cluster_state.fleet.workers.values()
+        )
+        open_jobs = [
+            job for job in self.cluster_state.jobs.values() if job.verdict is None
+        ]
         done = [
-            job for job in self.board.jobs.values() if job.verdict is JobState.COMPLETED
+            job
+            for job in self.cluster_state.jobs.values()
+            if job.verdict is JobState.COMPLETED
         ]
         pending = sum(
             task.state is TaskState.PENDING
-            for step in self.board.waiting.values()
+            for step in self.cluster_state.waiting.values()
             for task in step.tasks
         )
         return {
-            "jobs": len(self.board.jobs),
+            "jobs": len(self.cluster_state.jobs),
             "open": len(open_jobs),
             "completed": len(done),
             "placed": placed,
--- a/cranberrycleat/workflow/peer_api.py
+++ b/cranberrycleat/workflow/peer_api.py
@@ -6,16 +6,16 @@
 import attrs
 
 from cranberrycleat import codec, errors
-from cranberrycleat.asgi import Answer, Calls
+from cranberrycleat.asgi import Answer, RpcApp
 from cranberrycleat.metrics import Metrics
 from cranberrycleat.workflow.owner import Owner
 from cranberrycleat.workflow.peering import (
     STATUS_NOT_OWNER,
-    Digest,
-    DigestReply,
-    JobAnswer,
-    JobQuestion,
-    Look,
+    Heartbeat,
+    HeartbeatReply,
+    JobReply,
+    JobRequest,
+    LeaseCheck,
     PermitReply,
     PermitRequest,
     SubmitReply,
@@ -23,7 +23,7 @@
 )
 from cranberrycleat.workflow.ports import PermitClient, PermitUnavailable
 
-UNSETTLED: Final = 504
+STATUS_UNSETTLED: Final = 504
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -40,21 +40,21 @@
     """
 
     owner: Callable[[], Owner | None]
-    digest: Callable[[Digest], DigestReply]
-    look: Callable[[], None]
+    heartbeat: Callable[[Heartbeat], HeartbeatReply]
+    check_lease: Callable[[], None]
     permits: PermitClient
     metrics: Metrics
     dump: Callable[[], object]
 
-    def app(self) -> Calls:
+    def app(self) -> RpcApp:
         """Return the ASGI app."""
-        return Calls(
+        return RpcApp(
             handlers={
                 "/v1/submit": self._submit,
                 "/v1/state": self._state,
                 "/v1/cancel": self._cancel,
-                "/v1/digest": self._digest,
-                "/v1/look": self._look_now,
+                "/v1/digest": self._heartbeat,
+                "/v1/look": self._check_lease,
                 "/v1/permits": self._permits,
                 "/v1/metrics": self._metrics,
                 "/metrics": self._metrics_text,
@@ -64,39 +64,39 @@
 
     async def _submit(self, body: bytes) -> Answer:
         req = codec.decode(body, SubmitRequest)
-        held = self.owner()
-        if held is None:
+        active = self.owner()
+        if active is None:
             return Answer(message=SubmitReply(), status=STATUS_NOT_OWNER)
         try:
-            return Answer(message=await held.submit(req))
+            return Answer(message=await active.submit(req))
         except errors.NotOwner:
             return Answer(message=SubmitReply(), status=STATUS_NOT_OWNER)
         except errors.PeerUnavailable:
             return Answer(message=SubmitReply())
 
     async def _state(self, body: bytes) -> Answer:
-        req = codec.decode(body, JobQuestion)
-        held = self.owner()
-        if held is None:
-            return Answer(message=JobAnswer(owner=False))
-        return Answer(message=await held.settled_state(req.job_id, req.workspace))
+        req = codec.decode(body, JobRequest)
+        active = self.owner()
+        if active is None:
+            return Answer(message=JobReply(owner=False))
+        return Answer(message=await active.settled_state(req.job_id, req.workspace))
 
     async def _cancel(self, body: bytes) -> Answer:
-        req = codec.decode(body, JobQuestion)
-        held = self.owner()
-        if held is None:
-            return Answer(message=JobAnswer(owner=False))
+        req = codec.decode(body, JobRequest)
+        active = self.owner()
+        if active is None:
+            return Answer(message=JobReply(owner=False))
         try:
-            return Answer(message=await held.cancel(req.job_id, req.workspace))
+            return Answer(message=await active.cancel(req.job_id, req.workspace))
         except errors.PeerUnavailable:
-            return Answer(message=JobAnswer(owner=True), status=UNSETTLED)
+            return Answer(message=JobReply(owner=True), status=STATUS_UNSETTLED)
 
-    async def _digest(self, body: bytes) -> Answer:
-        return Answer(message=self.digest(codec.decode(body, Digest)))
+    async def _heartbeat(self, body: bytes) -> Answer:
+        return Answer(message=self.heartbeat(codec.decode(body, Heartbeat)))
 
-    async def _look_now(self, body: bytes) -> Answer:
-        self.look()
-        return Answer(message=Look())
+    async def _check_lease(self, body: bytes) -> Answer:
+        self.check_lease()
+        return Answer(message=LeaseCheck())
 
     async def _permits(self, body: bytes) -> Answer:
         req = codec.decode(body, PermitRequest)
--- a/cranberrycleat/workflow/peering.py
+++ b/cranberrycleat/workflow/peering.py
@@ -11,12 +11,12 @@
 from cranberrycleat.workflow.spec import WorkflowSpec
 
 T = TypeVar("T")
-FAR_S: Final = 3600.0
+NEVER_S: Final = 3600.0
 """What is told for 'never'."""
-TIMEOUT_S: Final = 0.9
+PEER_CALL_TIMEOUT_S: Final = 0.9
 """A whole answer takes about 15 ms, with a slowed store 0.5 s; a caller waits
 3 s and the door has a second way to go after this one."""
-DIGEST_TIMEOUT_S: Final = 0.3
+HEARTBEAT_TIMEOUT_S: Final = 0.3
 """A digest waits for no store: what takes longer is a cut or a dead host."""
 STATUS_OK: Final = 200
 STATUS_NOT_OWNER: Final = 421
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class JobQuestion:
+class JobRequest:
     """A workspace's question for, or its cancelling of, one job."""
 
     job_id: str
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class JobAnswer:
+class JobReply:
     """What the owner knows of a job.
 
     Attributes:
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Digest:
+class Heartbeat:
     """What a process tells the owner about itself.
 
     Attributes:
@@ -115,7 +115,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class DigestReply:
+class HeartbeatReply:
     """What a process tells another, and the owner all others.
 
     Attributes:
@@ -140,11 +140,11 @@
     peers: tuple[PeerEntry, ...] = ()
     table_silent_s: float = 0.0
     config: int = 0
-    config_age_s: float = FAR_S
+    config_age_s: float = NEVER_S
 
 
 @attrs.frozen(kw_only=True)
-class Look:
+class LeaseCheck:
     """The ownership has been released: look at its row."""
 
 
@@ -170,66 +170,70 @@
     """Calls to other processes of the system."""
 
     http: HttpClient
-    timeout_s: float = TIMEOUT_S
+    timeout_s: float = PEER_CALL_TIMEOUT_S
 
     async def submit(self, address: str, req: SubmitRequest) -> SubmitReply:
         """Hand in a job; raises `errors.PeerUnavailable`."""
         return await self._call(address, "submit", req, SubmitReply)
 
-    async def state(self, address: str, req: JobQuestion) -> JobAnswer:
+    async def state(self, address: str, req: JobRequest) -> JobReply:
         """Ask for a job's state; raises `errors.PeerUnavailable`."""
-        return await self._call(address, "state", req, JobAnswer)
+        return await self._call(address, "state", req, JobReply)
 
-    async def cancel(self, address: str, req: JobQuestion) -> JobAnswer:
+    async def cancel(self, address: str, req: JobRequest) -> JobReply:
         """Cancel a job; raises `errors.PeerUnavailable`."""
-        return await self._call(address, "cancel", req, JobAnswer)
+        return await self._call(address, "cancel", req, JobReply)
 
-    async def digest(self, address: str, req: Digest) -> DigestReply:
+    async def heartbeat(self, address: str, req: Heartbeat) -> HeartbeatReply:
         """Exchange digests; raises `errors.PeerUnavailable`."""
         return await self._call(
-            address, "digest", req, DigestReply, more_s=DIGEST_TIMEOUT_S - TIMEOUT_S
+            address,
+            "digest",
+            req,
+            HeartbeatReply,
+            extra_timeout_s=HEARTBEAT_TIMEOUT_S - PEER_CALL_TIMEOUT_S,
         )
 
-    async def look(self, address: str) -> None:
+    async def check_lease(self, address: str) -> None:
         """Have a peer look at the owner's row now; raises `PeerUnavailable`."""
-        await self._call(address, "look", Look(), Look)
+        await self._call(address, "look", LeaseCheck(), LeaseCheck)
 
     async def permits(self, address: str, req: PermitRequest) -> tuple[Permit, ...]:
         """Have a peer ask for permits; raises `PermitUnavailable`."""
         try:
             reply = await self._call(
-                address, "permits", req, PermitReply, more_s=req.timeout_s
+                address, "permits", req, PermitReply, extra_timeout_s=req.timeout_s
             )
         except errors.PeerUnavailable as exc:
             raise PermitUnavailable(str(exc)) from exc
         if not reply.answered:
-            raise PermitUnavailable(f"{address} had no answer")
+            raise PermitUnavailable(f"{address} got no answer from the permit service")
         return reply.permits
 
     async def _call(
         self,
         address: str,
-        what: str,
+        operation: str,
         message: object,
-        kind: type[T],
+        reply_type: type[T],
         *,
-        more_s: float = 0.0,
+        extra_timeout_s: float = 0.0,
     ) -> T:
         try:
             reply = await self.http.call(
                 "POST",
-                f"http://{address}/v1/{what}",
+                f"http://{address}/v1/{operation}",
                 body=codec.encode(message),
-                timeout_s=self.timeout_s + more_s,
+                timeout_s=self.timeout_s + extra_timeout_s,
             )
         except NoAnswer as exc:
-            kind_of_fault = errors.PeerUnavailable if exc.sent else errors.NotSent
-            raise kind_of_fault(str(exc)) from exc
+            error_type = errors.PeerUnavailable if exc.sent else errors.NotSent
+            raise error_type(str(exc)) from exc
         if reply.status == STATUS_NOT_OWNER:
             raise errors.NotOwner(f"{address} is not the owner")
         if reply.status != STATUS_OK:
             raise errors.PeerUnavailable(f"{address}: status {reply.status}")
         try:
-            return codec.decode(reply.body, kind, place=f"{address}/{what}")
+            return codec.decode(reply.body, reply_type, place=f"{address}/{operation}")
         except errors.FindingsError as exc:
             raise errors.PeerUnavailable(str(exc)) from exc
--- a/cranberrycleat/workflow/permit_choice.py
+++ b/cranberrycleat/workflow/permit_choice.py
@@ -24,25 +24,25 @@
 import attrs
 
 from cranberrycleat.workflow.fleet import FleetWorker
-from cranberrycleat.workflow.ports import PERMITS_MOST_WORKERS
+from cranberrycleat.workflow.ports import MAX_WORKERS_PER_PERMIT_CALL
 from cranberrycleat.workflow.spec import StepSpec
 
-Seats = Callable[[FleetWorker], int]
+FitCount = Callable[[FleetWorker], int]
 """How many tasks of a step a worker would be given."""
-SPARE: Final = 3.0
+REQUEST_FACTOR: Final = 3.0
 """Seats asked about for each seat that is needed: while a call is answered, others
 take room, and the share that is allowed varies from step to step."""
-WIDE: Final = 8
+WIDE_GANG_TASKS: Final = 8
 """A gang of more tasks asks about all workers at once: it begins only where all its
 seats are free together, and each further call takes as long as the first decision,
 0.6 s and more on some queues."""
-FIRST_SHARE: Final = 0.5
+INITIAL_SHARE: Final = 0.5
 """The share that is taken to be allowed before the service was ever asked."""
-FIRST_WEIGHT: Final = 20.0
+INITIAL_SAMPLES: Final = 20.0
 """So many workers does that guess count as."""
-MEMORY: Final = 2000.0
+MAX_SAMPLES: Final = 2000.0
 """So many workers back the learned share reaches: half of them are forgotten then."""
-LEAST_SHARE: Final = 0.02
+MIN_SHARE: Final = 0.02
 """A service that allows nearly nobody is asked about fifty for one."""
 
 
@@ -50,40 +50,40 @@
 class AllowedShare:
     """The share of workers that the service allows the steps of one queue."""
 
-    _asked: float = FIRST_WEIGHT
-    _allowed: float = FIRST_WEIGHT * FIRST_SHARE
+    _asked: float = INITIAL_SAMPLES
+    _allowed: float = INITIAL_SAMPLES * INITIAL_SHARE
 
-    def take(self, *, asked: int, allowed: int) -> None:
+    def record(self, *, asked: int, allowed: int) -> None:
         """Learn from one answer."""
         self._asked += asked
         self._allowed += allowed
-        if self._asked > MEMORY:
+        if self._asked > MAX_SAMPLES:
             self._asked /= 2
             self._allowed /= 2
 
     def value(self) -> float:
         """Return the share, from `LEAST_SHARE` to 1."""
-        return max(LEAST_SHARE, self._allowed / self._asked)
+        return max(MIN_SHARE, self._allowed / self._asked)
 
 
-def asks_about_all(spec: StepSpec) -> bool:
+def queries_all_workers(spec: StepSpec) -> bool:
     """Tell whether a step chooses among places, so that it has to know them all.
 
     Racks are chosen by what the whole of each may hold, a service makes room for
     itself where it may run, and a wide gang needs most of what is there.
     """
-    wide = spec.gang and spec.count > WIDE
+    wide = spec.gang and spec.count > WIDE_GANG_TASKS
     return wide or spec.service or spec.same_rack or bool(spec.data_rack)
 
 
-def choose(
+def select_workers(
     *,
     step_name: str,
     pending: int,
     allowed: Iterable[FleetWorker],
     unknown: Sequence[FleetWorker],
-    seats_now: Seats,
-    seats_ever: Seats,
+    fits_now: FitCount,
+    fits_when_empty: FitCount,
     share: float,
 ) -> list[FleetWorker]:
     """Return the workers to ask about next; none where it would not help.
@@ -100,45 +100,52 @@
         seats_ever: Tells how many it would be given if nothing else ran there.
         share: The share of workers that is likely to be allowed.
     """
-    now = ever = 0
+    total_now = total_when_empty = 0
     for worker in allowed:
-        now += seats_now(worker)
-        ever += seats_ever(worker)
-    wanted_now = SPARE * (pending - now) / share
-    chosen = list(_until(wanted_now, unknown, seats_now))
-    ever_asked = ever + share * sum(map(seats_ever, chosen))
-    if not chosen and ever >= SPARE * pending:
+        total_now += fits_now(worker)
+        total_when_empty += fits_when_empty(worker)
+    wanted_fits_now = REQUEST_FACTOR * (pending - total_now) / share
+    chosen = list(_take_until(wanted_fits_now, unknown, fits_now))
+    expected_when_empty = total_when_empty + share * sum(map(fits_when_empty, chosen))
+    if not chosen and total_when_empty >= REQUEST_FACTOR * pending:
         return []
-    scarce = sum(map(seats_now, chosen)) < wanted_now
-    if scarce or ever_asked < SPARE * pending:
+    capacity_is_scarce = sum(map(fits_now, chosen)) < wanted_fits_now
+    if capacity_is_scarce or expected_when_empty < REQUEST_FACTOR * pending:
         names = {worker.name for worker in chosen}
-        others = [w for w in _from(step_name, unknown) if w.name not in names]
-        wanted_ever = (SPARE * pending - ever_asked) / share
-        more = list(_until(wanted_ever, others, seats_ever))
-        if scarce and len(chosen) + len(more) < PERMITS_MOST_WORKERS:
+        remaining = [w for w in _rotated(step_name, unknown) if w.name not in names]
+        wanted_fits_when_empty = (
+            REQUEST_FACTOR * pending - expected_when_empty
+        ) / share
+        additional = list(
+            _take_until(wanted_fits_when_empty, remaining, fits_when_empty)
+        )
+        if (
+            capacity_is_scarce
+            and len(chosen) + len(additional) < MAX_WORKERS_PER_PERMIT_CALL
+        ):
             # Room is scarce: whoever has it next is likely to be among so many. One
             # call for few, again and again, made 560 calls a second of a backlog.
-            more = [each for each in others if seats_ever(each)]
-            more = more[: PERMITS_MOST_WORKERS - len(chosen)]
-        chosen += more
+            additional = [each for each in remaining if fits_when_empty(each)]
+            additional = additional[: MAX_WORKERS_PER_PERMIT_CALL - len(chosen)]
+        chosen += additional
     return chosen
 
 
-def _from(step_name: str, workers: Sequence[FleetWorker]) -> Iterator[FleetWorker]:
+def _rotated(step_name: str, workers: Sequence[FleetWorker]) -> Iterator[FleetWorker]:
     """Return all of the workers, beginning at a place that the step's name gives."""
     start = zlib.crc32(step_name.encode()) % max(1, len(workers))
     yield from workers[start:]
     yield from workers[:start]
 
 
-def _until(
-    wanted: float, workers: Iterable[FleetWorker], seats_on: Seats
+def _take_until(
+    wanted_fits: float, workers: Iterable[FleetWorker], fits_on: FitCount
 ) -> Iterator[FleetWorker]:
     """Return the first workers with seats until there are enough seats."""
     for worker in workers:
-        if wanted <= 0:
+        if wanted_fits <= 0:
             return
-        count = seats_on(worker)
+        count = fits_on(worker)
         if count > 0:
             yield worker
-            wanted -= count
+            wanted_fits -= count
--- a/cranberrycleat/workflow/permit_queue.py
+++ b/cranberrycleat/workflow/permit_queue.py
@@ -22,17 +22,17 @@
 from cranberrycleat.workflow.peering import PeerClient, PermitRequest
 from cranberrycleat.workflow.permits import StepPermits
 from cranberrycleat.workflow.ports import (
-    PERMITS_MOST_WORKERS,
+    MAX_WORKERS_PER_PERMIT_CALL,
     Permit,
     PermitClient,
     PermitUnavailable,
 )
 
-LANE_DEPTH: Final = 2
-TRIES: Final = 3
-SLACK_S: Final = 0.5
+MAX_CALLS_PER_HOST: Final = 2
+MAX_ATTEMPTS: Final = 3
+ANSWER_SLACK_S: Final = 0.5
 """What an answer may take beyond the service's own times."""
-BAD_HOST_S: Final = 2.0
+HOST_BACKOFF_S: Final = 2.0
 """A host that gave no answer is passed over this long."""
 
 
@@ -53,13 +53,13 @@
     peer_client: PeerClient
     peers: Callable[[], tuple[str, ...]]
     clock: Clock
-    _under_way: dict[str, float] = attrs.field(factory=dict)
-    _calls: dict[str, int] = attrs.field(factory=dict)
-    _bad_until: dict[str, float] = attrs.field(factory=dict)
-    _waiting: "list[tuple[Urgency, int, asyncio.Future[str]]]" = attrs.field(
+    _work_in_flight_s: dict[str, float] = attrs.field(factory=dict)
+    _calls_in_flight: dict[str, int] = attrs.field(factory=dict)
+    _backoff_until: dict[str, float] = attrs.field(factory=dict)
+    _waiters: "list[tuple[Urgency, int, asyncio.Future[str]]]" = attrs.field(
         factory=list
     )
-    _numbers: "itertools.count[int]" = attrs.field(factory=itertools.count)
+    _sequence: "itertools.count[int]" = attrs.field(factory=itertools.count)
 
     async def ask(
         self,
@@ -73,16 +73,16 @@
         Returns:
             Whether an answer came.
         """
-        permits.calls += 1
+        permits.calls_in_flight += 1
         permits.asked.update(workers)
         try:
-            parts = _parts(workers)
+            parts = _split_workers(workers)
             done = await asyncio.gather(
                 *(self._ask_part(step, part, permits, urgency) for part in parts)
             )
             return all(done)
         finally:
-            permits.calls -= 1
+            permits.calls_in_flight -= 1
 
     async def _ask_part(
         self,
@@ -91,30 +91,34 @@
         permits: StepPermits,
         urgency: Urgency,
     ) -> bool:
-        work_s = permits.answer_s(len(workers))
-        came_at = self.clock.now()
-        for _ in range(TRIES):
-            host = await self._lane(urgency)
+        work_s = permits.expected_answer_s(len(workers))
+        queued_at = self.clock.now()
+        for _ in range(MAX_ATTEMPTS):
+            host = await self._acquire_host(urgency)
             sent_at = self.clock.now()
-            limit_s = self._under_way.get(host, 0.0) + 1.5 * work_s + SLACK_S
-            self._under_way[host] = self._under_way.get(host, 0.0) + work_s
+            limit_s = (
+                self._work_in_flight_s.get(host, 0.0) + 1.5 * work_s + ANSWER_SLACK_S
+            )
+            self._work_in_flight_s[host] = (
+                self._work_in_flight_s.get(host, 0.0) + work_s
+            )
             try:
                 found = await self._send(host, step, workers, limit_s)
             except PermitUnavailable as exc:
                 emit(events.PermitsFailed(step=step, via=host, reason=str(exc)))
-                self._bad_until[host] = self.clock.now() + BAD_HOST_S
+                self._backoff_until[host] = self.clock.now() + HOST_BACKOFF_S
                 continue
             finally:
-                self._under_way[host] -= work_s
-                self._leave(host)
-            permits.take(workers, found, self.clock.now())
+                self._work_in_flight_s[host] -= work_s
+                self._release_host(host)
+            permits.record_answer(workers, found, self.clock.now())
             emit(
                 events.PermitsHad(
                     step=step,
                     asked=len(workers),
                     allowed=len(found),
                     via=host,
-                    waited_s=round(sent_at - came_at, 4),
+                    waited_s=round(sent_at - queued_at, 4),
                     took_s=round(self.clock.now() - sent_at, 4),
                 )
             )
@@ -124,50 +128,50 @@
 
     # --- lanes ------------------------------------------------------------------
 
-    async def _lane(self, urgency: Urgency) -> str:
+    async def _acquire_host(self, urgency: Urgency) -> str:
         """Wait, in the order of urgency, for a host with a free lane."""
-        host = self._free_host()
-        if host is not None and not self._waiting:
-            self._calls[host] = self._calls.get(host, 0) + 1
+        host = self._least_loaded_host()
+        if host is not None and not self._waiters:
+            self._calls_in_flight[host] = self._calls_in_flight.get(host, 0) + 1
             return host
         fut: "asyncio.Future[str]" = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (urgency, next(self._numbers), fut))
-        self._serve()
+        heapq.heappush(self._waiters, (urgency, next(self._sequence), fut))
+        self._grant_waiters()
         try:
             return await fut
         except asyncio.CancelledError:
             if fut.done() and not fut.cancelled():
-                self._leave(fut.result())
+                self._release_host(fut.result())
             raise
 
-    def _leave(self, host: str) -> None:
-        self._calls[host] -= 1
-        self._serve()
+    def _release_host(self, host: str) -> None:
+        self._calls_in_flight[host] -= 1
+        self._grant_waiters()
 
-    def _serve(self) -> None:
+    def _grant_waiters(self) -> None:
         """Give free lanes to those that wait, the most urgent first."""
-        while self._waiting:
-            host = self._free_host()
+        while self._waiters:
+            host = self._least_loaded_host()
             if host is None:
                 return
-            _, _, fut = heapq.heappop(self._waiting)
+            _, _, fut = heapq.heappop(self._waiters)
             if not fut.done():
-                self._calls[host] = self._calls.get(host, 0) + 1
+                self._calls_in_flight[host] = self._calls_in_flight.get(host, 0) + 1
                 fut.set_result(host)
 
-    def _free_host(self) -> str | None:
+    def _least_loaded_host(self) -> str | None:
         now = self.clock.now()
         hosts = dict.fromkeys((self.own_address, *self.peers()))
-        good = [host for host in hosts if self._bad_until.get(host, 0.0) <= now]
+        good = [host for host in hosts if self._backoff_until.get(host, 0.0) <= now]
         free = [
             host
             for host in good or [self.own_address]
-            if self._calls.get(host, 0) < LANE_DEPTH
+            if self._calls_in_flight.get(host, 0) < MAX_CALLS_PER_HOST
         ]
         # Among like hosts the first is taken: calls between data centres are dear.
         return min(
             free,
-            key=lambda host: round(self._under_way.get(host, 0.0), 4),
+            key=lambda host: round(self._work_in_flight_s.get(host, 0.0), 4),
             default=None,
         )
 
@@ -180,7 +184,7 @@
         return await self.peer_client.permits(host, req)
 
 
-def _parts(workers: tuple[str, ...]) -> list[tuple[str, ...]]:
+def _split_workers(workers: tuple[str, ...]) -> list[tuple[str, ...]]:
     """Return parts of like length, since the longest call is waited for."""
-    count = math.ceil(len(workers) / PERMITS_MOST_WORKERS)
+    count = math.ceil(len(workers) / MAX_WORKERS_PER_PERMIT_CALL)
     return [workers[number::count] for number in range(count)]
--- a/cranberrycleat/workflow/permits.py
+++ b/cranberrycleat/workflow/permits.py
@@ -12,9 +12,9 @@
 import attrs
 
 from cranberrycleat.workflow.permit_choice import AllowedShare
-from cranberrycleat.workflow.ports import Permit, PermitPolicy
+from cranberrycleat.workflow.ports import Permit, PermitTiming
 
-MARGIN_S: Final = 0.15
+VALIDITY_MARGIN_S: Final = 0.15
 """A permit must be valid for this much longer when a start is ordered: the
 start is stored first (about 10 ms) and may be sent once more."""
 
@@ -32,25 +32,25 @@
         share: What its queue's steps were allowed of late.
     """
 
-    policy: PermitPolicy
+    policy: PermitTiming
     tickets: dict[str, str] = attrs.field(factory=dict)
-    had_at: dict[str, float] = attrs.field(factory=dict)
+    issued_at: dict[str, float] = attrs.field(factory=dict)
     asked: set[str] = attrs.field(factory=set)
-    calls: int = 0
+    calls_in_flight: int = 0
     share: AllowedShare = attrs.field(factory=AllowedShare)
 
-    def valid(self, worker: str, now: float) -> str:
+    def valid_ticket(self, worker: str, now: float) -> str:
         """Return a ticket that can be used now, or nothing."""
-        had_at = self.had_at.get(worker, float("-inf"))
-        if now - had_at > self.policy.valid_s - MARGIN_S:
+        issued_at = self.issued_at.get(worker, float("-inf"))
+        if now - issued_at > self.policy.valid_s - VALIDITY_MARGIN_S:
             return ""
         return self.tickets[worker]
 
     def refused(self, worker: str) -> None:
         """A worker refused its ticket: it needs another before the next start."""
-        self.had_at.pop(worker, None)
+        self.issued_at.pop(worker, None)
 
-    def to_renew(self, workers: Iterable[str], now: float) -> tuple[str, ...]:
+    def workers_to_renew(self, workers: Iterable[str], now: float) -> tuple[str, ...]:
         """Return the workers whose permits must be renewed to start on all of them.
 
         Where one has run out, so must those be renewed that run out before the call is
@@ -59,12 +59,12 @@
         calls never had all of them at once.
         """
         names = sorted(workers)
-        if all(self.valid(name, now) for name in names):
+        if all(self.valid_ticket(name, now) for name in names):
             return ()
-        answered_at = now + self.answer_s(len(names)) + MARGIN_S
-        return tuple(name for name in names if not self.valid(name, answered_at))
+        answered_at = now + self.expected_answer_s(len(names)) + VALIDITY_MARGIN_S
+        return tuple(name for name in names if not self.valid_ticket(name, answered_at))
 
-    def take(
+    def record_answer(
         self, asked: tuple[str, ...], permits: tuple[Permit, ...], sent_at: float
     ) -> None:
         """Take in an answer.
@@ -79,14 +79,14 @@
         self.asked.update(asked)
         for permit in permits:
             self.tickets[permit.worker] = permit.ticket
-            self.had_at[permit.worker] = sent_at
+            self.issued_at[permit.worker] = sent_at
         if fresh:
-            self.share.take(asked=fresh, allowed=len(self.tickets) - known)
+            self.share.record(asked=fresh, allowed=len(self.tickets) - known)
 
     def failed(self, asked: tuple[str, ...]) -> None:
         """Note that a call had no answer, so that it is asked again."""
         self.asked.difference_update(set(asked) - set(self.tickets))
 
-    def answer_s(self, workers: int) -> float:
+    def expected_answer_s(self, workers: int) -> float:
         """Return how long the service works on a call."""
         return self.policy.decide_s + self.policy.each_s * workers
--- a/cranberrycleat/workflow/planner.py
+++ b/cranberrycleat/workflow/planner.py
@@ -16,27 +16,46 @@
 from cranberrycleat import events
 from cranberrycleat.amounts import NOTHING, Amounts
 from cranberrycleat.logs import emit
-from cranberrycleat.workflow import trials
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.fleet import FleetWorker, Placement, counted, job_of, times
-from cranberrycleat.workflow.locality import could_hold, rack_wait_s, racks
-from cranberrycleat.workflow.making_room import ROOM_WAIT_S, victims
+from cranberrycleat.workflow import isolation
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.filler_throttling import runs_until_cancelled, serves
+from cranberrycleat.workflow.fleet import (
+    FleetWorker,
+    Placement,
+    how_many_fit,
+    job_of,
+    reserved_resources,
+)
+from cranberrycleat.workflow.locality import (
+    could_hold_gang,
+    rack_wait_s,
+    workers_by_rack,
+)
 from cranberrycleat.workflow.ordering import rank
-from cranberrycleat.workflow.permit_choice import asks_about_all, choose
-from cranberrycleat.workflow.pool_view import PoolView, look_at, suits
-from cranberrycleat.workflow.serving import lasts, serves
+from cranberrycleat.workflow.permit_choice import queries_all_workers, select_workers
+from cranberrycleat.workflow.pool_snapshot import (
+    PoolSnapshot,
+    could_run_on,
+    take_snapshot,
+)
+from cranberrycleat.workflow.service_preemption import (
+    PREEMPTION_DELAY_S,
+    select_victims,
+)
 from cranberrycleat.workflow.state import StepRun, Task, TaskState
 
-MOST_HELD: Final = 3
+MAX_RESERVED_GANGS: Final = 3
 """Gangs for which room is kept at a time; more would idle the pool."""
-NO_WORKER: Final = "every known worker is ruled out by a label, a permit or its state"
-TELL_AGAIN_S: Final = 10.0
+NO_ELIGIBLE_WORKER: Final = (
+    "every known worker is ruled out by a label, a permit or its state"
+)
+WAIT_LOG_INTERVAL_S: Final = 10.0
 AT_QUOTA: Final = "its workspace is at its quota, or a newer one may be in force"
-MOST_SCANNED: Final = 400
+MAX_STEPS_SCANNED: Final = 400
 """Steps looked at in a round."""
-MOST_OF_ONE: Final = 100
+MAX_STEPS_PER_WORKSPACE: Final = 100
 """Steps of one workspace among them, where more wait than are looked at."""
-ASKED_AHEAD: Final = 60
+MAX_PERMIT_PREFETCH_STEPS: Final = 60
 """Steps without room for which permits are asked for all the same, so that they
 start when room comes: what 300 starts a second begin while a call is answered.
 For all of a backlog the permit service would only be kept busy."""
@@ -51,7 +70,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class PermitWish:
+class PermitQuery:
     """Workers that the permit service is to be asked about."""
 
     step: StepRun
@@ -63,7 +82,7 @@
     """What a round decided."""
 
     groups: list[PlannedGroup] = attrs.field(factory=list)
-    wishes: list[PermitWish] = attrs.field(factory=list)
+    permit_queries: list[PermitQuery] = attrs.field(factory=list)
     retry_at: float | None = None
 
 
@@ -77,10 +96,10 @@
             and gangs on several racks.
     """
 
-    board: Board
+    cluster_state: ClusterState
     spread_factor: float = 1.0
-    _held: dict[str, Amounts] = attrs.field(factory=dict)
-    _views: dict[str, PoolView] = attrs.field(factory=dict)
+    _reserved: dict[str, Amounts] = attrs.field(factory=dict)
+    _snapshots: dict[str, PoolSnapshot] = attrs.field(factory=dict)
 
     def plan(self, *, now: float, now_s: float) -> Plan:
         """Place what fits.
@@ -90,34 +109,36 @@
             now_s: Seconds since 1970, the clock that objectives are counted on.
         """
         plan = Plan()
-        self._held = {}
-        self._views = {}
-        held = 0
-        for place, step in enumerate(self._ordered(now, now_s)):
-            tasks = self._placeable(step, now, plan)
-            if not tasks or not self._in_quota(step):
+        self._reserved = {}
+        self._snapshots = {}
+        reserved_gangs = 0
+        for position, step in enumerate(self._steps_by_rank(now, now_s)):
+            tasks = self._placeable_tasks(step, now, plan)
+            if not tasks or not self._count_within_quota(step):
                 step.waits_since = None
                 continue
-            may_fit = self._view(step, now).may_fit(counted(step.spec))
+            might_fit = self._snapshot(step, now).might_fit(
+                reserved_resources(step.spec)
+            )
             candidates = self._candidates(step, now)
-            if may_fit or place < ASKED_AHEAD:
-                self._wish(step, candidates, now, plan)
-            if not may_fit:
+            if might_fit or position < MAX_PERMIT_PREFETCH_STEPS:
+                self._query_permits(step, candidates, now, plan)
+            if not might_fit:
                 placed = False
             elif not step.spec.gang:
                 placed = self._place_single(step, tasks, candidates, now, plan)
             else:
                 placed = self._place_gang(step, tasks, candidates, now, plan)
-            if step.spec.gang and not placed and held < MOST_HELD:
-                held += self._hold(step, candidates)
+            if step.spec.gang and not placed and reserved_gangs < MAX_RESERVED_GANGS:
+                reserved_gangs += self._reserve_for_gang(step, candidates)
             if step.spec.service:
-                self._make_room(step, candidates, now)
+                self._preempt_for_service(step, candidates, now)
             if step.pending():
-                reason = self._why_waiting(step, candidates)
-                self._tell_waiting(step, reason, len(candidates), now, now_s)
+                reason = self._wait_reason(step, candidates)
+                self._log_waiting(step, reason, len(candidates), now, now_s)
         return plan
 
-    def _make_room(
+    def _preempt_for_service(
         self, step: StepRun, candidates: list[FleetWorker], now: float
     ) -> None:
         """Have lesser work stop where members of a service wait for room."""
@@ -126,32 +147,39 @@
             return
         if step.waits_since is None:
             step.waits_since = now
-        if now - step.waits_since < ROOM_WAIT_S:
+        if now - step.waits_since < PREEMPTION_DELAY_S:
             return
-        for placement in victims(counted(step.spec), candidates):
-            for worker, each in self.board.placements_of(job_of(placement.task)):
+        for placement in select_victims(reserved_resources(step.spec), candidates):
+            for worker, each in self.cluster_state.placements_of(
+                job_of(placement.task)
+            ):
                 if each is placement:
-                    self.board.stop(worker, placement, f"makes room for {step.name}")
+                    self.cluster_state.stop(
+                        worker, placement, f"preempted for {step.name}"
+                    )
 
-    def _why_waiting(self, step: StepRun, candidates: list[FleetWorker]) -> str:
-        if not self._in_quota(step):
+    def _wait_reason(self, step: StepRun, candidates: list[FleetWorker]) -> str:
+        if not self._count_within_quota(step):
             return AT_QUOTA
         if candidates:
             return "no room"
-        permits = self.board.permits.get(step.name)
-        asking = permits is not None and (permits.calls or not permits.asked)
-        return "permits are being asked for" if asking else NO_WORKER
+        permits = self.cluster_state.permits.get(step.name)
+        asking = permits is not None and (permits.calls_in_flight or not permits.asked)
+        return "permits are being asked for" if asking else NO_ELIGIBLE_WORKER
 
-    def _tell_waiting(
+    def _log_waiting(
         self, step: StepRun, reason: str, candidates: int, now: float, now_s: float
     ) -> None:
         """Log why a step is left waiting: each reason, and again while it lasts."""
-        if reason == step.wait_reason and now < step.wait_told_at + TELL_AGAIN_S:
+        if (
+            reason == step.wait_reason
+            and now < step.wait_logged_at + WAIT_LOG_INTERVAL_S
+        ):
             return
         step.wait_reason = reason
-        step.wait_told_at = now
+        step.wait_logged_at = now
         pending = len(step.pending())
-        if reason == NO_WORKER:
+        if reason == NO_ELIGIBLE_WORKER:
             emit(events.StepHopeless(step=step.name, reason=reason, pending=pending))
             return
         emit(
@@ -165,35 +193,35 @@
             )
         )
 
-    def _ordered(self, now: float, now_s: float) -> list[StepRun]:
-        for name, step in list(self.board.waiting.items()):
+    def _steps_by_rank(self, now: float, now_s: float) -> list[StepRun]:
+        for name, step in list(self.cluster_state.waiting.items()):
             if not any(task.state is TaskState.PENDING for task in step.tasks):
-                del self.board.waiting[name]
+                del self.cluster_state.waiting[name]
         steps = []
-        for step in self.board.waiting.values():
-            if self._in_quota(step):
+        for step in self.cluster_state.waiting.values():
+            if self._count_within_quota(step):
                 steps.append(step)
             else:
-                self._tell_waiting(step, AT_QUOTA, 0, now, now_s)
+                self._log_waiting(step, AT_QUOTA, 0, now, now_s)
         steps.sort(key=lambda step: rank(step, now_s).key())
-        return _scanned(steps)
+        return _limit_scan(steps)
 
-    def _in_quota(self, step: StepRun) -> bool:
+    def _count_within_quota(self, step: StepRun) -> bool:
         """Tell whether a step's workspace may have more of it running.
 
         The backlog of one that may not must not fill the round before the others'.
         """
-        return self.board.quotas.may_begin(
+        return self.cluster_state.quotas.may_begin(
             step.job.workspace,
-            counted(step.spec),
+            reserved_resources(step.spec),
             step.spec.count if step.spec.gang else 1,
         )
 
-    def _placeable(self, step: StepRun, now: float, plan: Plan) -> list[Task]:
+    def _placeable_tasks(self, step: StepRun, now: float, plan: Plan) -> list[Task]:
         tasks = []
         for task in step.pending():
             if task.not_before > now:
-                self._retry(plan, task.not_before)
+                self._schedule_retry(plan, task.not_before)
             else:
                 tasks.append(task)
         if step.spec.gang and len(tasks) < len(step.tasks):
@@ -201,83 +229,93 @@
         return tasks
 
     @staticmethod
-    def _retry(plan: Plan, at: float) -> None:
+    def _schedule_retry(plan: Plan, at: float) -> None:
         plan.retry_at = at if plan.retry_at is None else min(plan.retry_at, at)
 
-    def _view(self, step: StepRun, now: float) -> PoolView:
+    def _snapshot(self, step: StepRun, now: float) -> PoolSnapshot:
         pool = step.job.queue.pool
-        if pool not in self._views:
-            self._views[pool] = look_at(self.board.fleet, pool, now)
-        return self._views[pool]
+        if pool not in self._snapshots:
+            self._snapshots[pool] = take_snapshot(self.cluster_state.fleet, pool, now)
+        return self._snapshots[pool]
 
-    def _suited(self, step: StepRun, now: float) -> Sequence[FleetWorker]:
+    def _eligible_workers(self, step: StepRun, now: float) -> Sequence[FleetWorker]:
         """Return the workers that may draw and that the step could run on."""
-        view = self._view(step, now)
-        if not step.spec.label and counted(step.spec).fits_in(view.smallest):
-            return view.drawing
-        return [worker for worker in view.drawing if suits(step.spec, worker)]
+        snapshot = self._snapshot(step, now)
+        if not step.spec.label and reserved_resources(step.spec).fits_in(
+            snapshot.min_capacity
+        ):
+            return snapshot.drawing
+        return [
+            worker for worker in snapshot.drawing if could_run_on(step.spec, worker)
+        ]
 
-    def _wish(
+    def _query_permits(
         self, step: StepRun, candidates: list[FleetWorker], now: float, plan: Plan
     ) -> None:
         """Ask for the permits that a step needs and has not asked for yet."""
-        permits = self.board.permits_of(step)
-        if permits is None or permits.calls:
+        permits = self.cluster_state.permits_of(step)
+        if permits is None or permits.calls_in_flight:
             return
         unknown = [
-            each for each in self._suited(step, now) if each.name not in permits.asked
+            each
+            for each in self._eligible_workers(step, now)
+            if each.name not in permits.asked
         ]
-        if not asks_about_all(step.spec):
+        if not queries_all_workers(step.spec):
             tasks = step.pending()
             unknown.sort(key=lambda worker: self._preference(step, worker))
-            unknown = choose(
+            unknown = select_workers(
                 step_name=step.name,
                 pending=len(tasks),
-                allowed=self._trusted(step, tasks, candidates),
+                allowed=self._exclude_failed_workers(step, tasks, candidates),
                 unknown=unknown,
-                seats_now=lambda worker: self._seats_now(step, worker),
-                seats_ever=lambda worker: self._seats_ever(step, worker),
+                fits_now=lambda worker: self._fits_now(step, worker),
+                fits_when_empty=lambda worker: self._fits_when_empty(step, worker),
                 share=permits.share.value(),
             )
         if unknown:
             names = tuple(each.name for each in unknown)
-            plan.wishes.append(PermitWish(step=step, workers=names))
+            plan.permit_queries.append(PermitQuery(step=step, workers=names))
 
-    def _seats_now(self, step: StepRun, worker: FleetWorker) -> int:
+    def _fits_now(self, step: StepRun, worker: FleetWorker) -> int:
         """Return how many more of a step's tasks a worker would be given now."""
-        fits = times(counted(step.spec), self._room(worker))
-        if worker.has_trial():
+        fits = how_many_fit(reserved_resources(step.spec), self._unreserved(worker))
+        if worker.has_isolated_attempt():
             return 0
-        if worker.probing:
+        if worker.is_probed:
             fits = min(fits, 1)
-        return min(fits, self._seats_left(step, worker))
+        return min(fits, self._remaining_worker_limit(step, worker))
 
-    def _seats_ever(self, step: StepRun, worker: FleetWorker) -> int:
+    def _fits_when_empty(self, step: StepRun, worker: FleetWorker) -> int:
         """Return how many more it would be given if nothing else ran there."""
-        fits = times(counted(step.spec), worker.entry.capacity)
-        return min(fits, self._seats_left(step, worker))
+        fits = how_many_fit(reserved_resources(step.spec), worker.entry.capacity)
+        return min(fits, self._remaining_worker_limit(step, worker))
 
-    def _seats_left(self, step: StepRun, worker: FleetWorker) -> int:
+    def _remaining_worker_limit(self, step: StepRun, worker: FleetWorker) -> int:
         """Return how many more tasks the step's limit for a worker leaves."""
-        most = step.spec.most_per_worker
-        return max(0, most - self._on_worker(step, worker)) if most else step.spec.count
+        limit = step.spec.most_per_worker
+        return (
+            max(0, limit - self._tasks_on_worker(step, worker))
+            if limit
+            else step.spec.count
+        )
 
     def _candidates(self, step: StepRun, now: float) -> list[FleetWorker]:
         if step.job.queue.permits is None:
-            return list(self._suited(step, now))
-        permits = self.board.permits.get(step.name)
+            return list(self._eligible_workers(step, now))
+        permits = self.cluster_state.permits.get(step.name)
         if permits is None:
             return []
-        by_name = self._view(step, now).by_name
+        by_name = self._snapshot(step, now).by_name
         allowed = (by_name.get(name) for name in permits.tickets)
-        return [each for each in allowed if each and suits(step.spec, each)]
+        return [each for each in allowed if each and could_run_on(step.spec, each)]
 
-    def _room(self, worker: FleetWorker) -> Amounts:
+    def _unreserved(self, worker: FleetWorker) -> Amounts:
         """Return what is free there and not kept for a gang."""
-        held = self._held.get(worker.name)
-        return worker.free if held is None else worker.free.minus(held)
+        reserved = self._reserved.get(worker.name)
+        return worker.free if reserved is None else worker.free.minus(reserved)
 
-    def _on_worker(self, step: StepRun, worker: FleetWorker) -> int:
+    def _tasks_on_worker(self, step: StepRun, worker: FleetWorker) -> int:
         return sum(task.worker == worker.name for task in step.tasks)
 
     def _place_single(
@@ -289,24 +327,29 @@
         plan: Plan,
     ) -> bool:
         """Place as many tasks as find room; return whether any did."""
-        needs = counted(step.spec)
+        needs = reserved_resources(step.spec)
         group = PlannedGroup(step=step)
-        most = step.spec.most_per_worker
-        candidates = self._near(step, candidates, now, plan)
+        limit = step.spec.most_per_worker
+        candidates = self._workers_near_data(step, candidates, now, plan)
         for task in tasks:
-            if not self._in_quota(step):
+            if not self._count_within_quota(step):
                 break
             fitting = [
                 worker
-                for worker in self._trusted(step, [task], candidates)
-                if needs.fits_in(self._room(worker))
-                and worker.may_draw(now)
-                and (not most or self._on_worker(step, worker) < most)
+                for worker in self._exclude_failed_workers(step, [task], candidates)
+                if needs.fits_in(self._unreserved(worker))
+                and worker.may_accept_work(now)
+                and (not limit or self._tasks_on_worker(step, worker) < limit)
             ]
-            trial = trials.of(task)
-            if trial is not None:
-                fitting = trials.places(trial, fitting, self.board.fleet.falls, now)
-            if not fitting and trial is None:
+            isolated_attempt = isolation.record_for(task)
+            if isolated_attempt is not None:
+                fitting = isolation.candidates_for(
+                    isolated_attempt,
+                    fitting,
+                    self.cluster_state.fleet.worker_failures,
+                    now,
+                )
+            if not fitting and isolated_attempt is None:
                 break
             if not fitting:
                 continue
@@ -316,7 +359,7 @@
             plan.groups.append(group)
         return bool(group.placements)
 
-    def _trusted(
+    def _exclude_failed_workers(
         self, step: StepRun, tasks: list[Task], candidates: list[FleetWorker]
     ) -> list[FleetWorker]:
         """Leave out workers that failed these tasks and did nothing well since.
@@ -327,17 +370,17 @@
         it is as good as any.
         """
         failed_on = {name for task in tasks for name in task.failed_on}
-        lost_at = trials.lost_at(step, tasks)
-        if not failed_on and not lost_at:
+        lost_worker_addresses = isolation.lost_worker_addresses(step, tasks)
+        if not failed_on and not lost_worker_addresses:
             return candidates
-        trusted = [
+        eligible = [
             each
             for each in candidates
             if (each.name not in failed_on or not each.failures)
-            and each.entry.address not in lost_at
+            and each.entry.address not in lost_worker_addresses
         ]
-        seats = sum(self._seats_ever(step, each) for each in trusted)
-        return trusted if seats >= len(tasks) else candidates
+        fitting = sum(self._fits_when_empty(step, each) for each in eligible)
+        return eligible if fitting >= len(tasks) else candidates
 
     def _preference(
         self, step: StepRun, worker: FleetWorker
@@ -345,11 +388,11 @@
         away = bool(step.spec.data_rack) and (
             step.spec.data_rack not in worker.entry.labels
         )
-        crowd = self._crowd(step, worker)
-        return (away, crowd, worker.free.processors, worker.name)
+        interference = self._interference(step, worker)
+        return (away, interference, worker.free.processors, worker.name)
 
     @staticmethod
-    def _crowd(step: StepRun, worker: FleetWorker) -> int:
+    def _interference(step: StepRun, worker: FleetWorker) -> int:
         """Return how much there disturbs the step, or is disturbed by it."""
         spec = step.spec
         if spec.tail_limit_ms or spec.service or spec.filler:
@@ -364,16 +407,21 @@
         now: float,
         plan: Plan,
     ) -> bool:
-        trusted = self._trusted(step, tasks, candidates)
-        trial = trials.of(tasks[0])
-        if trial is not None and not trial.may_go_anywhere(now):
-            trusted = trials.fit(trusted, self.board.fleet.falls, now)
-        for group_of in self._rack_choices(step, trusted, now, plan):
-            seats = self._seats(step, group_of, len(tasks))
-            if len(seats) == len(tasks):
+        eligible = self._exclude_failed_workers(step, tasks, candidates)
+        isolated_attempt = isolation.record_for(tasks[0])
+        if (
+            isolated_attempt is not None
+            and not isolated_attempt.isolation_wait_expired(now)
+        ):
+            eligible = isolation.stable_workers(
+                eligible, self.cluster_state.fleet.worker_failures, now
+            )
+        for workers in self._rack_choices(step, eligible, now, plan):
+            assigned = self._assign_gang(step, workers, len(tasks))
+            if len(assigned) == len(tasks):
                 group = PlannedGroup(step=step)
                 attempt = step.last_attempt + 1
-                for task, worker in zip(tasks, seats, strict=True):
+                for task, worker in zip(tasks, assigned, strict=True):
                     self._place(step, task, worker, attempt, now, group)
                 plan.groups.append(group)
                 return True
@@ -387,14 +435,14 @@
             return [candidates]
         fitting = [
             group
-            for group in racks(candidates).values()
-            if could_hold(step.spec, group)
+            for group in workers_by_rack(candidates).values()
+            if could_hold_gang(step.spec, group)
         ]
         if fitting and self._waits_for_rack(step, now, plan):
             return fitting
         return [*fitting, candidates]
 
-    def _near(
+    def _workers_near_data(
         self, step: StepRun, candidates: list[FleetWorker], now: float, plan: Plan
     ) -> list[FleetWorker]:
         """Return the workers near a step's data, while it pays to wait for them."""
@@ -410,25 +458,25 @@
         until = step.ready_at + rack_wait_s(step.spec, self.spread_factor)
         if now >= until:
             return False
-        self._retry(plan, until)
+        self._schedule_retry(plan, until)
         return True
 
-    def _seats(
+    def _assign_gang(
         self,
         step: StepRun,
         candidates: list[FleetWorker],
         count: int,
     ) -> list[FleetWorker]:
         """Return a worker for each member, the fullest first, or too few."""
-        seats: list[FleetWorker] = []
+        assigned: list[FleetWorker] = []
         for worker in sorted(candidates, key=lambda each: self._preference(step, each)):
-            fits = min(count - len(seats), self._seats_now(step, worker))
-            seats += [worker] * fits
-            if len(seats) == count:
+            fits = min(count - len(assigned), self._fits_now(step, worker))
+            assigned += [worker] * fits
+            if len(assigned) == count:
                 break
-        return seats
+        return assigned
 
-    def _hold(self, step: StepRun, candidates: list[FleetWorker]) -> bool:
+    def _reserve_for_gang(self, step: StepRun, candidates: list[FleetWorker]) -> bool:
         """Keep room for a gang on the workers that it will fit on soonest.
 
         One that they could not hold even without all that ends keeps none: what comes
@@ -437,25 +485,27 @@
         Returns:
             Whether room is kept.
         """
-        needs = counted(step.spec)
-        kept: dict[str, int] = {}
-        left = len(step.tasks)
+        needs = reserved_resources(step.spec)
+        members_by_worker: dict[str, int] = {}
+        remaining = len(step.tasks)
         for worker in sorted(candidates, key=lambda each: -each.free.processors):
-            seats = min(
-                left, self._seats_ever(step, worker), _seats_beside(step, worker)
+            members = min(
+                remaining,
+                self._fits_when_empty(step, worker),
+                _fits_beside_services(step, worker),
             )
-            if seats > 0:
-                kept[worker.name] = seats
-                left -= seats
-            if left <= 0:
+            if members > 0:
+                members_by_worker[worker.name] = members
+                remaining -= members
+            if remaining <= 0:
                 break
-        if left > 0:
+        if remaining > 0:
             return False
-        for name, seats in kept.items():
-            held = self._held.get(name, NOTHING)
-            for _ in range(seats):
-                held = held.plus(needs)
-            self._held[name] = held
+        for name, members in members_by_worker.items():
+            reserved = self._reserved.get(name, NOTHING)
+            for _ in range(members):
+                reserved = reserved.plus(needs)
+            self._reserved[name] = reserved
         return True
 
     def _place(
@@ -467,34 +517,34 @@
         now: float,
         group: PlannedGroup,
     ) -> None:
-        placement = self.board.place(task, worker, attempt, now=now)
-        if trials.of(task) is not None:
-            worker.trial = placement
+        placement = self.cluster_state.place(task, worker, attempt, now=now)
+        if isolation.record_for(task) is not None:
+            worker.isolated_attempt = placement
         group.placements.append((worker, placement))
 
 
-def _scanned(steps: list[StepRun]) -> list[StepRun]:
+def _limit_scan(steps: list[StepRun]) -> list[StepRun]:
     """Return the steps that a round looks at, in their order.
 
     Answers a workspace that sends many times its usual: its backlog, which its quota
     holds back, must not keep the round from everybody else's steps.
     """
-    if len(steps) <= MOST_SCANNED:
+    if len(steps) <= MAX_STEPS_SCANNED:
         return steps
-    taken: collections.Counter[str] = collections.Counter()
+    scanned_per_workspace: collections.Counter[str] = collections.Counter()
     found = []
     for step in steps:
         workspace = step.job.workspace
-        taken[workspace] += bool(workspace)
-        if taken[workspace] <= MOST_OF_ONE:
+        scanned_per_workspace[workspace] += bool(workspace)
+        if scanned_per_workspace[workspace] <= MAX_STEPS_PER_WORKSPACE:
             found.append(step)
-    return found[:MOST_SCANNED]
+    return found[:MAX_STEPS_SCANNED]
 
 
-def _seats_beside(step: StepRun, worker: FleetWorker) -> int:
+def _fits_beside_services(step: StepRun, worker: FleetWorker) -> int:
     """Return how many of a step's tasks a worker holds beside its services."""
-    room = worker.entry.capacity
+    available = worker.entry.capacity
     for each in worker.placements.values():
-        if lasts(each):
-            room = room.minus(each.needs)
-    return times(counted(step.spec), room)
+        if runs_until_cancelled(each):
+            available = available.minus(each.needs)
+    return how_many_fit(reserved_resources(step.spec), available)
--- a/cranberrycleat/workflow/pool_view.py
+++ b/cranberrycleat/workflow/pool_snapshot.py
@@ -11,12 +11,12 @@
 import attrs
 
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.workflow.fleet import Fleet, FleetWorker, counted
+from cranberrycleat.workflow.fleet import Fleet, FleetWorker, reserved_resources
 from cranberrycleat.workflow.spec import StepSpec
 
 
 @attrs.frozen(kw_only=True)
-class PoolView:
+class PoolSnapshot:
     """One pool at the beginning of a round.
 
     Attributes:
@@ -28,35 +28,37 @@
     """
 
     drawing: tuple[FleetWorker, ...] = ()
-    roomiest: Amounts = NOTHING
-    smallest: Amounts = NOTHING
+    max_free: Amounts = NOTHING
+    min_capacity: Amounts = NOTHING
     by_name: Mapping[str, FleetWorker] = attrs.field(factory=dict)
 
-    def may_fit(self, needs: Amounts) -> bool:
+    def might_fit(self, needs: Amounts) -> bool:
         """Tell whether one task may find room; False is certain."""
-        return needs.fits_in(self.roomiest)
+        return needs.fits_in(self.max_free)
 
 
-def look_at(fleet: Fleet, pool: str, now: float) -> PoolView:
+def take_snapshot(fleet: Fleet, pool: str, now: float) -> PoolSnapshot:
     """Return a pool's view at a time."""
-    drawing = tuple(each for each in fleet.of_pool(pool) if each.may_draw(now))
+    drawing = tuple(
+        each for each in fleet.workers_in_pool(pool) if each.may_accept_work(now)
+    )
     if not drawing:
-        return PoolView()
+        return PoolSnapshot()
     free = [each.free for each in drawing]
-    whole = [each.entry.capacity for each in drawing]
-    return PoolView(
+    capacities = [each.entry.capacity for each in drawing]
+    return PoolSnapshot(
         drawing=drawing,
-        roomiest=_bound(max, free),
-        smallest=_bound(min, whole),
+        max_free=_bound(max, free),
+        min_capacity=_bound(min, capacities),
         by_name={each.name: each for each in drawing},
     )
 
 
-def suits(spec: StepSpec, worker: FleetWorker) -> bool:
+def could_run_on(spec: StepSpec, worker: FleetWorker) -> bool:
     """Tell whether a step could run on a worker if that were empty."""
     if spec.label and spec.label not in worker.entry.labels:
         return False
-    return counted(spec).fits_in(worker.entry.capacity)
+    return reserved_resources(spec).fits_in(worker.entry.capacity)
 
 
 def _bound(pick: Callable[[Iterable[int]], int], amounts: list[Amounts]) -> Amounts:
--- a/cranberrycleat/workflow/ports.py
+++ b/cranberrycleat/workflow/ports.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class PermitPolicy:
+class PermitTiming:
     """How long the permit service of a queue takes.
 
     Attributes:
@@ -54,7 +54,7 @@
     max_attempts: int = 1
     stretch: float = 1.0
     objective_s: float = 0.0
-    permits: PermitPolicy | None = None
+    permits: PermitTiming | None = None
     public: bool = False
 
 
@@ -143,7 +143,7 @@
         """The name of this life of the worker."""
         return f"{self.worker}@{self.born_ms}" if self.born_ms else self.worker
 
-    def next_life(self, born_ms: int) -> "WorkerEntry":
+    def for_incarnation(self, born_ms: int) -> "WorkerEntry":
         """Return the entry of an incarnation that has not registered itself yet.
 
         It may be of another kind and size, and draws nothing until that is known.
@@ -158,7 +158,7 @@
         return self.labels[1:]
 
 
-def may_be_one_life(born_ms: int, other_ms: int) -> bool:
+def may_be_same_incarnation(born_ms: int, other_ms: int) -> bool:
     """Tell whether two starts of a worker may be the same; 0 is one not told."""
     return born_ms == other_ms or not born_ms or not other_ms
 
@@ -193,11 +193,11 @@
     read_s: float = 0.0
 
 
-class HistoryGone(Exception):
+class HistoryExpired(Exception):
     """The changes asked for are no longer kept; read the whole table."""
 
 
-class FeedTooLong(Exception):
+class FeedTooLarge(Exception):
     """The changes asked for take more bytes than were wanted; read the whole table."""
 
 
@@ -229,7 +229,7 @@
         """
 
     async def follow(
-        self, *, table: str, after: int, wait_s: float, most_bytes: int | None = None
+        self, *, table: str, after: int, wait_s: float, max_bytes: int | None = None
     ) -> Feed:
         """Return what changed after a version, or nothing after `wait_s`.
 
@@ -438,13 +438,13 @@
     clock_error: float
     stop_s: float
 
-    def longest_s(self) -> float:
+    def max_run_on_s(self) -> float:
         """Return how long anything may run on after the last order that reached it."""
         return self.longest_lease_s / (1 - self.clock_error) + self.stop_s
 
 
 @attrs.frozen(kw_only=True)
-class HostRoom:
+class HostResources:
     """What a host has for one process.
 
     Attributes:
@@ -498,7 +498,7 @@
     permits: str
     machines: str
     bounds: LeaseBounds
-    room: HostRoom
+    room: HostResources
     spread_factor: float
     status_s: float
     grace_s: float
@@ -506,5 +506,5 @@
     revoke_bound_s: float | None = None
 
 
-PERMITS_MOST_WORKERS: Final = 100
+MAX_WORKERS_PER_PERMIT_CALL: Final = 100
 """Workers that one call to the permit service may name."""
--- a/cranberrycleat/workflow/progress.py
+++ b/cranberrycleat/workflow/progress.py
@@ -14,28 +14,32 @@
 from typing import Final
 
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
-from cranberrycleat.workflow.ordering import SERVICES, WORTHLESS, rank
+from cranberrycleat.workflow.ordering import EXPIRED_BAND, SERVICE_BAND, rank
 
-STILL_S: Final = 1.2
+STALL_TIMEOUT_S: Final = 1.2
 """Without any progress for so long a task stands still. A task that resumes from
 saved progress needs 0.6 s first; one of 16 s on a worker eight times too slow
 comes one percent further in 1.3 s; lists come each 1.5 s at the latest."""
-LAST_CHANCE_S: Final = 2.0
+MIN_SLACK_S: Final = 2.0
 """With less time left before it must start, a task cannot wait for the next list,
 which comes in 1.5 s, and for its start elsewhere. Trial: stopping all that had run
 under 3 s broke gangs that had 8 s to spare (worth of the kind 1.0 to 0.92)."""
-DONE: Final = 100.0
+COMPLETE_PERCENT: Final = 100.0
 
 
-def stands_still(worker: FleetWorker, now: float) -> bool:
+def is_stalled(worker: FleetWorker, now: float) -> bool:
     """Tell whether nothing moves there, by a list that has just come."""
-    witnesses = [each for each in worker.placements.values() if _tells(each, now)]
-    if not witnesses:
+    indicators = [
+        each
+        for each in worker.placements.values()
+        if _indicates_worker_state(each, now)
+    ]
+    if not indicators:
         return False
-    return all(now - each.advanced_at >= STILL_S for each in witnesses)
+    return all(now - each.advanced_at >= STALL_TIMEOUT_S for each in indicators)
 
 
-def to_stop(worker: FleetWorker, now_s: float) -> list[Placement]:
+def placements_to_stop(worker: FleetWorker, now_s: float) -> list[Placement]:
     """Return what is to start elsewhere rather than wait until it moves again.
 
     Args:
@@ -45,29 +49,34 @@
     return [
         each
         for each in worker.placements.values()
-        if each.running and not each.stopping and _must_leave(each, now_s)
+        if each.running and not each.stopping and _must_restart_elsewhere(each, now_s)
     ]
 
 
-def _tells(placement: Placement, now: float) -> bool:
+def _indicates_worker_state(placement: Placement, now: float) -> bool:
     """Tell whether an attempt's progress says something of its worker.
 
     A gang's does not: it waits for members that may stand still elsewhere.
     """
-    task = placement.subject
+    task = placement.tracked_task
     if task is None or not placement.running or placement.stopping:
         return False
     spec = task.step.spec
-    if spec.gang or spec.service or spec.filler or placement.percent >= DONE:
+    if (
+        spec.gang
+        or spec.service
+        or spec.filler
+        or placement.percent >= COMPLETE_PERCENT
+    ):
         return False
-    return now - placement.running_since >= STILL_S
+    return now - placement.running_since >= STALL_TIMEOUT_S
 
 
-def _must_leave(placement: Placement, now_s: float) -> bool:
-    task = placement.subject
+def _must_restart_elsewhere(placement: Placement, now_s: float) -> bool:
+    task = placement.tracked_task
     if task is None or not placement.is_current:
         return False
     urgency = rank(task.step, now_s)
-    if urgency.band == WORTHLESS:
+    if urgency.band == EXPIRED_BAND:
         return False
-    return urgency.band == SERVICES or urgency.slack_s < LAST_CHANCE_S
+    return urgency.band == SERVICE_BAND or urgency.slack_s < MIN_SLACK_S
--- a/cranberrycleat/workflow/quota.py
+++ b/cranberrycleat/workflow/quota.py
@@ -87,7 +87,7 @@
         quotas = self.quotas()
         if quotas is None:
             return NOTHING
-        return left_of(quotas.get(workspace, NOTHING), self.used_by(workspace))
+        return remaining_quota(quotas.get(workspace, NOTHING), self.used_by(workspace))
 
     def may_begin(self, workspace: str, needs: Amounts, count: int = 1) -> bool:
         """Tell whether so many like tasks may begin together.
@@ -107,17 +107,17 @@
         quota = self.quota_of(workspace)
         if quota is None or self.running[workspace] <= 1:
             return False
-        return not NOTHING.fits_in(left_of(quota, self.used_by(workspace)))
+        return not NOTHING.fits_in(remaining_quota(quota, self.used_by(workspace)))
 
 
-def left_of(quota: Amounts, used: Amounts = NOTHING) -> Amounts:
+def remaining_quota(quota: Amounts, used: Amounts = NOTHING) -> Amounts:
     """Return what a quota leaves beside what is used; 0 in it is no limit."""
     return Amounts(
-        processors=_part_left(quota.processors, used.processors),
-        memory_mb=_part_left(quota.memory_mb, used.memory_mb),
-        accelerators=_part_left(quota.accelerators, used.accelerators),
+        processors=_remaining_part(quota.processors, used.processors),
+        memory_mb=_remaining_part(quota.memory_mb, used.memory_mb),
+        accelerators=_remaining_part(quota.accelerators, used.accelerators),
     )
 
 
-def _part_left(quota: int, used: int) -> int:
+def _remaining_part(quota: int, used: int) -> int:
     return quota - used if quota else NO_LIMIT
--- a/cranberrycleat/workflow/signal.py
+++ b/cranberrycleat/workflow/repeating_event.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Signal:
+class RepeatingEvent:
     """Each `wait` ends with the next `fire`, never with one that was before."""
 
     _event: asyncio.Event = attrs.field(factory=asyncio.Event)
--- a/cranberrycleat/workflow/retrying.py
+++ b/cranberrycleat/workflow/retrying.py
@@ -16,18 +16,18 @@
 
 from typing import Final
 
-LAST_CHANCE_PAUSE_S: Final = 0.3
+LAST_ATTEMPT_DELAY_S: Final = 0.3
 """Before the last attempt. A worker that fails what it starts has failed three of
 several jobs, and rests, within 0.2 s at 20 starts a second and 24 workers."""
-OWN_FAULT_WORKERS: Final = 2
+TASK_FAULT_WORKERS: Final = 2
 """A task that failed on so many workers fails by its own fault: that two of them
 fail whatever they start is a chance of 1 in 130 where a twelfth of them do."""
-SERVICE_PAUSE_S: Final = 0.3
+SERVICE_RESTART_DELAY_S: Final = 0.3
 """Before the first restart of a service's member; it doubles with each failure."""
-LONGEST_SERVICE_PAUSE_S: Final = 2.4
+MAX_SERVICE_RESTART_DELAY_S: Final = 2.4
 
 
-def pause_s(
+def retry_delay_s(
     *, failures: int, most_attempts: int, failed_on: int, service: bool
 ) -> float:
     """Return how long a task waits after a failed attempt, in seconds.
@@ -39,7 +39,11 @@
         service: Whether it lasts until it is cancelled.
     """
     if service:
-        doubled = SERVICE_PAUSE_S * 2.0 ** max(0, failures - 1)
-        return min(LONGEST_SERVICE_PAUSE_S, doubled)
-    last_chance = most_attempts - failures <= 1
-    return LAST_CHANCE_PAUSE_S if last_chance and failed_on < OWN_FAULT_WORKERS else 0.0
+        doubled = SERVICE_RESTART_DELAY_S * 2.0 ** max(0, failures - 1)
+        return min(MAX_SERVICE_RESTART_DELAY_S, doubled)
+    is_last_attempt = most_attempts - failures <= 1
+    return (
+        LAST_ATTEMPT_DELAY_S
+        if is_last_attempt and failed_on < TASK_FAULT_WORKERS
+        else 0.0
+    )
--- a/cranberrycleat/workflow/roster.py
+++ b/cranberrycleat/workflow/roster.py
@@ -12,15 +12,20 @@
 from cranberrycleat import errors, events
 from cranberrycleat.logs import emit
 from cranberrycleat.workflow import incarnations
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.directory import Directory
-from cranberrycleat.workflow.fleet import GANG_DOUBT_S, FleetWorker, Loss, Standing
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.directory import WorkerDirectory
+from cranberrycleat.workflow.fleet import (
+    GANG_SILENCE_LIMIT_S,
+    FleetWorker,
+    Liveness,
+    LossCause,
+)
 from cranberrycleat.workflow.links import WorkerLink
 from cranberrycleat.workflow.membership import Membership
 from cranberrycleat.workflow.ports import LeaseBounds, WorkerEntry
 
-DOUBT_S: Final = 0.4
-MISSING_S: Final = 2.5
+UNRESPONSIVE_AFTER_S: Final = 0.4
+MISSING_ENTRY_GRACE_S: Final = 2.5
 """How long a worker that answers is used though the list lacks it. Entries that lapsed
 while the table was away are back within about 2 s of its return (the platform's page);
 later a missing one means that the worker is gone."""
@@ -43,71 +48,74 @@
             no configuration, when every worker is met.
     """
 
-    board: Board
-    directory: Directory
+    cluster_state: ClusterState
+    directory: WorkerDirectory
     members: Membership
     links: dict[str, WorkerLink]
     bounds: LeaseBounds
     join: Callable[[FleetWorker], None]
     changed: Callable[[], None]
     pools: Callable[[], frozenset[str] | None] = lambda: None
-    read_at: float = float("-inf")
-    _strange: set[str] = attrs.field(factory=set)
+    list_read_at: float = float("-inf")
+    _unconfigured: set[str] = attrs.field(factory=set)
 
     def refresh(self) -> None:
         """Take in the list as it is now."""
-        workers = self.board.fleet.workers
-        self._strange.intersection_update(self.directory.entries)
+        workers = self.cluster_state.fleet.workers
+        self._unconfigured.intersection_update(self.directory.entries)
         for entry in self.directory.entries.values():
             known = workers.get(entry.incarnation)
             if known is not None:
                 self._update(known, entry)
-            elif self._serves(entry):
+            elif self._is_configured(entry):
                 self._join(entry)
         for worker in list(workers.values()):
-            if self._lists(worker):
+            if self._is_listed(worker):
                 worker.missing_since = None
             elif worker.listed:
-                self._miss(worker, self.board.now())
+                self._handle_missing_entry(worker, self.cluster_state.now())
 
-    def _lists(self, worker: FleetWorker) -> bool:
+    def _is_listed(self, worker: FleetWorker) -> bool:
         """Tell whether the platform lists a worker, if maybe an earlier incarnation."""
         entry = self.directory.entries.get(worker.entry.worker)
-        if entry is None or worker is not self._newest(entry):
+        if entry is None or worker is not self._newest_incarnation(entry):
             return False
         return worker.entry.born_ms >= entry.born_ms
 
-    def _newest(self, entry: WorkerEntry) -> FleetWorker | None:
-        return self.board.fleet.newest.get(entry.worker)
+    def _newest_incarnation(self, entry: WorkerEntry) -> FleetWorker | None:
+        return self.cluster_state.fleet.newest.get(entry.worker)
 
-    def _trust_entry(self, worker: FleetWorker) -> None:
+    def _adopt_listed_entry(self, worker: FleetWorker) -> None:
         """Take an earlier incarnation's entry for that of the one that answers.
 
         Whatever a worker says anew of itself is listed within `MISSING_S`, where the
         list can be read; until then it may be of another kind and size.
         """
-        if worker.entry.readable or self.read_at < worker.known_since + MISSING_S:
+        if (
+            worker.entry.readable
+            or self.list_read_at < worker.added_at + MISSING_ENTRY_GRACE_S
+        ):
             return
         entry = self.directory.entries.get(worker.entry.worker)
-        if entry is not None and entry.readable and self._lists(worker):
+        if entry is not None and entry.readable and self._is_listed(worker):
             worker.update(attrs.evolve(entry, born_ms=worker.entry.born_ms))
             self.changed()
 
     def _join(self, entry: WorkerEntry) -> None:
         """Take in an incarnation that the platform lists, if it is the newest."""
-        before = self._newest(entry)
-        if before is None:
+        previous = self._newest_incarnation(entry)
+        if previous is None:
             # The first list is read before `read_at` is set.
-            is_new = self.read_at > float("-inf")
-            joined_at = self.board.now() if is_new else float("-inf")
+            is_new = self.list_read_at > float("-inf")
+            joined_at = self.cluster_state.now() if is_new else float("-inf")
             worker = FleetWorker(entry=entry, joined_at=joined_at)
-            self.board.fleet.add(worker)
-        elif before.entry.born_ms > entry.born_ms:
+            self.cluster_state.fleet.add(worker)
+        elif previous.entry.born_ms > entry.born_ms:
             # It wrote this before it was over, or its clock was set back: then its
             # lists tell.
             return
         else:
-            worker = self._succeed(before, entry)
+            worker = self._replace_incarnation(previous, entry)
         self.join(worker)
         emit(
             events.WorkerJoined(
@@ -122,7 +130,7 @@
     def _update(self, known: FleetWorker, entry: WorkerEntry) -> None:
         if known.entry == entry and known.listed:
             return
-        if known is not self._newest(entry):
+        if known is not self._newest_incarnation(entry):
             return
         if entry.leaving and not known.entry.leaving:
             emit(events.WorkerLeaving(worker=entry.worker, tasks=len(known.placements)))
@@ -132,49 +140,55 @@
             # It was only known by what an earlier owner placed there.
             self.join(known)
 
-    def restarted(self, worker: FleetWorker, born_ms: int) -> None:
+    def worker_restarted(self, worker: FleetWorker, born_ms: int) -> None:
         """Take in an incarnation that answered in place of another one."""
-        newest = self._newest(worker.entry)
+        newest = self._newest_incarnation(worker.entry)
         if newest is not None and newest is not worker:
             # A later one is known already, and asked by itself.
-            self._end_link(worker)
+            self._close_link(worker)
             return
-        self.join(self._succeed(worker, worker.entry.next_life(born_ms)))
+        self.join(
+            self._replace_incarnation(worker, worker.entry.for_incarnation(born_ms))
+        )
         self.refresh()
 
-    def link_adopted(self) -> None:
+    def link_unlisted_incarnations(self) -> None:
         """Ask incarnations that only an earlier owner's placements told of."""
-        for worker in list(self.board.fleet.newest.values()):
-            if worker.before is None or worker.name in self.links:
+        for worker in list(self.cluster_state.fleet.newest.values()):
+            if worker.previous is None or worker.name in self.links:
                 continue
-            self._end_link(worker.before)
+            self._close_link(worker.previous)
             self.join(worker)
 
-    def _succeed(self, before: FleetWorker, entry: WorkerEntry) -> FleetWorker:
-        self._end_link(before)
-        until = self.board.now() + self.bounds.longest_s()
-        return incarnations.succeed(self.board, before, entry, until)
+    def _replace_incarnation(
+        self, previous: FleetWorker, entry: WorkerEntry
+    ) -> FleetWorker:
+        self._close_link(previous)
+        until = self.cluster_state.now() + self.bounds.max_run_on_s()
+        return incarnations.replace_incarnation(
+            self.cluster_state, previous, entry, until
+        )
 
-    def _end_link(self, worker: FleetWorker) -> None:
+    def _close_link(self, worker: FleetWorker) -> None:
         link = self.links.pop(worker.name, None)
         if link is not None:
-            link.over = True
+            link.closed = True
 
-    def _miss(self, worker: FleetWorker, now: float) -> None:
+    def _handle_missing_entry(self, worker: FleetWorker, now: float) -> None:
         """Use a worker whose entry is gone no longer, unless it answers for now.
 
         One that left said so before, and draws nothing; one that is lost is silent.
         """
         if worker.missing_since is None:
             worker.missing_since = now
-        answers = worker.standing is Standing.LIVE and not worker.doubted
-        answers = answers or worker.before is not None
-        if answers and now - worker.missing_since <= MISSING_S:
+        answers = worker.liveness is Liveness.LIVE and not worker.unresponsive
+        answers = answers or worker.previous is not None
+        if answers and now - worker.missing_since <= MISSING_ENTRY_GRACE_S:
             return
         emit(events.WorkerUnlisted(worker=worker.name, tasks=len(worker.placements)))
         worker.listed = False
 
-    def _serves(self, entry: WorkerEntry) -> bool:
+    def _is_configured(self, entry: WorkerEntry) -> bool:
         """Tell whether a worker is of a service that the configuration names.
 
         No work could ever go to another one, and each look at it is priced. One
@@ -182,10 +196,10 @@
         """
         pools = self.pools()
         if pools is None or entry.pool in pools:
-            self._strange.discard(entry.worker)
+            self._unconfigured.discard(entry.worker)
             return True
-        if entry.worker not in self._strange:
-            self._strange.add(entry.worker)
+        if entry.worker not in self._unconfigured:
+            self._unconfigured.add(entry.worker)
             place = f"{self.directory.table}/{entry.worker}"
             found = errors.finding(
                 place, errors.UNKNOWN_NAME, kind="service", name=entry.pool
@@ -195,38 +209,41 @@
 
     def check_all(self, now: float) -> None:
         """Look for places and workers that fell silent."""
-        self.doubt_places(now)
-        for worker in list(self.board.fleet.workers.values()):
+        self.mark_silent_data_centres(now)
+        for worker in list(self.cluster_state.fleet.workers.values()):
             self.check(worker, now)
 
-    def doubt_places(self, now: float) -> None:
+    def mark_silent_data_centres(self, now: float) -> None:
         """Give no work to a data centre from which no host is heard any more.
 
         Answers a data centre that is cut off: its workers are found silent one
         by one over two seconds, and whatever is placed there meanwhile waits
         for a whole lease.
         """
-        for place in self.members.silent_places(now):
-            for worker in self.board.fleet.workers.values():
-                silent_s = now - worker.clock_at
-                if worker.entry.data_centre == place and silent_s > DOUBT_S:
-                    worker.doubted = True
+        for place in self.members.silent_data_centres(now):
+            for worker in self.cluster_state.fleet.workers.values():
+                silent_s = now - worker.clock_read_at
+                if (
+                    worker.entry.data_centre == place
+                    and silent_s > UNRESPONSIVE_AFTER_S
+                ):
+                    worker.unresponsive = True
 
     def check(self, worker: FleetWorker, now: float) -> None:
         """Give up what ran on a worker whose leases are all over."""
         if worker.listed and worker.missing_since is not None:
-            self._miss(worker, now)
-        if worker.standing is Standing.LIVE:
-            self._trust_entry(worker)
+            self._handle_missing_entry(worker, now)
+        if worker.liveness is Liveness.LIVE:
+            self._adopt_listed_entry(worker)
             return
-        if self.board.fleet.silent_s(worker, now) >= GANG_DOUBT_S:
-            if self.board.break_waiting_gangs(worker):
+        if self.cluster_state.fleet.silent_s(worker, now) >= GANG_SILENCE_LIMIT_S:
+            if self.cluster_state.stop_blocked_gangs(worker):
                 self.changed()
-        if now > worker.leases_over_at or worker.standing is Standing.GONE:
-            lost = self.board.lapse(worker, Loss.SILENT)
+        if now > worker.leases_end_at or worker.liveness is Liveness.GONE:
+            lost = self.cluster_state.give_up_all(worker, LossCause.SILENT)
             if lost:
                 emit(events.WorkerLeasesOver(worker=worker.name, tasks=lost))
                 self.changed()
-            if not worker.listed or worker.standing is Standing.GONE:
-                self.board.fleet.remove(worker)
-                self._end_link(worker)
+            if not worker.listed or worker.liveness is Liveness.GONE:
+                self.cluster_state.fleet.remove(worker)
+                self._close_link(worker)
--- a/cranberrycleat/workflow/rows.py
+++ b/cranberrycleat/workflow/rows.py
@@ -19,17 +19,17 @@
 from cranberrycleat import codec, errors
 from cranberrycleat.amounts import Amounts
 from cranberrycleat.table import Put
+from cranberrycleat.workflow.crash_attribution import LossRecord, LostWorker
 from cranberrycleat.workflow.ports import Queue
 from cranberrycleat.workflow.spec import WorkflowSpec
 from cranberrycleat.workflow.state import (
     Job,
     JobState,
-    LeftAttempt,
     Occurrence,
+    OrphanedAttempt,
     StepRun,
     TaskState,
 )
-from cranberrycleat.workflow.suspicion import LossRecord, LostWorker
 
 JOBS: Final = "jobs"
 SPECS: Final = "specs"
@@ -125,18 +125,18 @@
     )
 
 
-def job_put(job: Job, left: tuple[LeftAttempt, ...] = ()) -> Put:
+def job_put(job: Job, left: tuple[OrphanedAttempt, ...] = ()) -> Put:
     """Return the write of a job's changing part, and of a small one's whole."""
-    whole = job.spec_inline and job.verdict is None
+    inline = job.spec_inline and job.verdict is None
     row = JobRow(
         verdict=_VERDICTS.index(job.verdict),
         ended_s=round(job.ended_s),
         started=job.started,
         next_occurrence=job.next_occurrence,
         open=() if job.verdict else tuple(_pack(each) for each in job.open.values()),
-        spec=_spec_row(job) if whole else None,
+        spec=_spec_row(job) if inline else None,
         workspace=job.workspace,
-        left=tuple(_pack_left(each) for each in left),
+        left=tuple(_pack_orphaned_attempt(each) for each in left),
     )
     return Put(key=job_key(job.job_id), value=msgspec.json.encode(row).decode())
 
@@ -168,21 +168,23 @@
     return _OccurrenceRow(number=occurrence.number, steps=tuple(steps))
 
 
-def _pack_left(each: LeftAttempt) -> tuple[str, int, str, int, int, int]:
-    needs = each.needs
+def _pack_orphaned_attempt(
+    orphaned: OrphanedAttempt,
+) -> tuple[str, int, str, int, int, int]:
+    needs = orphaned.needs
     return (
-        each.task,
-        each.attempt,
-        each.worker,
+        orphaned.task,
+        orphaned.attempt,
+        orphaned.worker,
         needs.processors,
         needs.memory_mb,
         needs.accelerators,
     )
 
 
-def _unpack_left(row: JobRow) -> tuple[LeftAttempt, ...]:
+def _unpack_orphaned_attempts(row: JobRow) -> tuple[OrphanedAttempt, ...]:
     return tuple(
-        LeftAttempt(
+        OrphanedAttempt(
             task=task,
             attempt=attempt,
             worker=worker,
@@ -199,7 +201,7 @@
             yield index, each.attempt, each.worker, each.address, each.early
 
 
-def read_row(text: str, place: str) -> JobRow:
+def decode_job_row(text: str, place: str) -> JobRow:
     """Return the changing part of a job.
 
     Raises:
@@ -225,7 +227,7 @@
         spec_stored=True,
         spec_inline=row.spec is not None,
         workspace=spec.workspace,
-        left=_unpack_left(row),
+        left=_unpack_orphaned_attempts(row),
     )
     for packed in row.open:
         job.next_occurrence = packed.number
@@ -246,28 +248,28 @@
         started=row.started,
         spec_stored=True,
         workspace=row.workspace,
-        left=_unpack_left(row),
+        left=_unpack_orphaned_attempts(row),
     )
 
 
 def _unpack(occurrence: Occurrence, packed: _OccurrenceRow) -> None:
-    for step, row in zip(occurrence.steps, packed.steps, strict=True):
-        step.last_attempt = row.last_attempt
-        step.gang_failures = row.gang_failures
-        step.failed_attempt = row.failed_attempt
-        for index, failures in row.failures:
+    for step, step_row in zip(occurrence.steps, packed.steps, strict=True):
+        step.last_attempt = step_row.last_attempt
+        step.gang_failures = step_row.gang_failures
+        step.failed_attempt = step_row.failed_attempt
+        for index, failures in step_row.failures:
             step.tasks[index].failures = failures
-        for index, attempt, worker, address, early in row.lost:
+        for index, attempt, worker, address, early in step_row.lost:
             loss = LostWorker(
                 attempt=attempt, worker=worker, address=address, early=early
             )
             step.losses.setdefault(index, LossRecord()).lost.append(loss)
-        for index, saved in row.saved:
+        for index, saved in step_row.saved:
             step.tasks[index].saved = saved
-        for index in row.done:
+        for index in step_row.done:
             step.tasks[index].state = TaskState.DONE
             step.done += 1
-        for index, attempt, worker in row.placed:
+        for index, attempt, worker in step_row.placed:
             task = step.tasks[index]
             task.state = TaskState.PLACED
             task.attempt = attempt
--- a/cranberrycleat/workflow/making_room.py
+++ b/cranberrycleat/workflow/service_preemption.py
@@ -11,12 +11,12 @@
 from cranberrycleat.amounts import Amounts
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 
-ROOM_WAIT_S: Final = 0.5
+PREEMPTION_DELAY_S: Final = 0.5
 """How long a service's task waits for room before others are stopped: most
 tasks end within a second or two, and 3 s are allowed."""
 
 
-def victims(needs: Amounts, workers: list[FleetWorker]) -> list[Placement]:
+def select_victims(needs: Amounts, workers: list[FleetWorker]) -> list[Placement]:
     """Return what to stop so that one task finds room, or nothing.
 
     Of all workers the one is taken where the least is lost. Where enough is
@@ -25,43 +25,43 @@
     best: list[Placement] = []
     best_cost = float("inf")
     for worker in workers:
-        chosen = _on_worker(needs, worker)
+        chosen = _victims_on_worker(needs, worker)
         if chosen is None:
             continue
         if not chosen:
             return []
-        cost = sum(_cost(each) for each in chosen)
+        cost = sum(_preemption_cost(each) for each in chosen)
         if cost < best_cost:
             best, best_cost = chosen, cost
     return best
 
 
-def _on_worker(needs: Amounts, worker: FleetWorker) -> list[Placement] | None:
-    room = worker.free
+def _victims_on_worker(needs: Amounts, worker: FleetWorker) -> list[Placement] | None:
+    available = worker.free
     for each in worker.placements.values():
         if each.stopping:
-            room = room.plus(each.needs)
+            available = available.plus(each.needs)
     chosen: list[Placement] = []
-    rest = [each for each in worker.placements.values() if _may_stop(each)]
-    rest.sort(key=_cost)
-    for each in rest:
-        if needs.fits_in(room):
+    preemptible = [each for each in worker.placements.values() if _is_preemptible(each)]
+    preemptible.sort(key=_preemption_cost)
+    for each in preemptible:
+        if needs.fits_in(available):
             break
         chosen.append(each)
-        room = room.plus(each.needs)
-    return chosen if needs.fits_in(room) else None
+        available = available.plus(each.needs)
+    return chosen if needs.fits_in(available) else None
 
 
-def _may_stop(placement: Placement) -> bool:
-    task = placement.subject
+def _is_preemptible(placement: Placement) -> bool:
+    task = placement.tracked_task
     if task is None or placement.stopping or not placement.is_current:
         return False
     return not task.step.spec.service
 
 
-def _cost(placement: Placement) -> float:
+def _preemption_cost(placement: Placement) -> float:
     """Return what a stop loses: urgent work, gangs and unsaved work cost more."""
-    task = placement.subject
+    task = placement.tracked_task
     assert task is not None
     spec = task.step.spec
     urgency = 4.0 / (1 + task.step.job.queue.priority)
--- a/cranberrycleat/workflow/spec.py
+++ b/cranberrycleat/workflow/spec.py
@@ -67,8 +67,8 @@
         return self.first_s + occurrence * self.period_s
 
 
-SMALL_STEPS: Final = 2
-SMALL_PROGRAM: Final = 1000
+MAX_INLINE_STEPS: Final = 2
+MAX_INLINE_PROGRAM_CHARS: Final = 1000
 """Characters."""
 
 
@@ -90,10 +90,10 @@
         """Return how often the steps run."""
         return 1 if self.schedule is None else self.schedule.runs
 
-    def is_small(self) -> bool:
+    def fits_inline(self) -> bool:
         """Tell whether it is small enough to be written again at each change."""
         return (
             self.schedule is None
-            and len(self.steps) <= SMALL_STEPS
-            and len(self.program) <= SMALL_PROGRAM
+            and len(self.steps) <= MAX_INLINE_STEPS
+            and len(self.program) <= MAX_INLINE_PROGRAM_CHARS
         )
--- a/cranberrycleat/workflow/state.py
+++ b/cranberrycleat/workflow/state.py
@@ -10,9 +10,9 @@
 
 from cranberrycleat.amounts import Amounts
 from cranberrycleat.workflow.access import may_see
+from cranberrycleat.workflow.crash_attribution import LossRecord
 from cranberrycleat.workflow.ports import EndKind, Queue
 from cranberrycleat.workflow.spec import StepSpec, WorkflowSpec
-from cranberrycleat.workflow.suspicion import LossRecord
 
 
 class TaskState(enum.Enum):
@@ -33,7 +33,7 @@
     CANCELLED = "cancelled"
 
 
-FINAL = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
+FINAL_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -62,7 +62,7 @@
     failures: int = 0
     saved: str = ""
     not_before: float = 0.0
-    at_work: bool = False
+    at_full_speed: bool = False
     failed_on: set[str] = attrs.field(factory=set)
 
     @property
@@ -81,7 +81,7 @@
     """
 
     latest_start_s: float
-    may_be_late_s: float
+    tolerated_lateness_s: float
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -118,7 +118,7 @@
     done: int = 0
     ready_at: float = 0.0
     wait_reason: str = ""
-    wait_told_at: float = 0.0
+    wait_logged_at: float = 0.0
     waits_since: float | None = None
     urgency: StepUrgency | None = None
     losses: dict[int, LossRecord] = attrs.field(factory=dict)
@@ -135,13 +135,13 @@
 
     def losses_of(self, task: Task) -> LossRecord | None:
         """Return what is on record of workers lost under a task, or its gang."""
-        return self.losses.get(self._record_key(task))
+        return self.losses.get(self._loss_record_key(task))
 
-    def make_losses_of(self, task: Task) -> LossRecord:
+    def ensure_losses_of(self, task: Task) -> LossRecord:
         """Return the record of workers lost under a task, or its gang."""
-        return self.losses.setdefault(self._record_key(task), LossRecord())
+        return self.losses.setdefault(self._loss_record_key(task), LossRecord())
 
-    def _record_key(self, task: Task) -> int:
+    def _loss_record_key(self, task: Task) -> int:
         return 0 if self.spec.gang else task.index
 
     def pending(self) -> list[Task]:
@@ -171,7 +171,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class LeftAttempt:
+class OrphanedAttempt:
     """An attempt that may still run though its task is not placed any more.
 
     Attributes:
@@ -220,10 +220,10 @@
     open: dict[int, Occurrence] = attrs.field(factory=dict)
     spec_stored: bool = False
     spec_inline: bool = False
-    offered: bool = False
+    sent_to_table: bool = False
     attempts: int = 0
     workspace: str = ""
-    left: tuple[LeftAttempt, ...] = ()
+    left: tuple[OrphanedAttempt, ...] = ()
 
     def is_visible_to(self, workspace: str) -> bool:
         """Tell whether a workspace's callers are told of it."""
@@ -256,7 +256,7 @@
         self.next_occurrence = number + 1
         return occurrence
 
-    def opens_at(self) -> float | None:
+    def next_occurrence_due_s(self) -> float | None:
         """Return when the next occurrence is due, since 1970; None: no more."""
         if self.verdict is not None or self.next_occurrence >= self.spec.occurrences():
             return None
@@ -278,7 +278,7 @@
     def place(self, task: Task, worker: str, attempt: int) -> None:
         """Note that an attempt of a task was given a worker."""
         task.state = TaskState.PLACED
-        task.at_work = False
+        task.at_full_speed = False
         task.worker = worker
         task.attempt = attempt
         task.step.last_attempt = max(task.step.last_attempt, attempt)
@@ -288,7 +288,7 @@
     def unplace(self, task: Task) -> None:
         """Note that an attempt is over without an end that counts."""
         task.state = TaskState.PENDING
-        task.at_work = False
+        task.at_full_speed = False
         task.worker = ""
 
     def end(self, task: Task, how: EndKind, saved: str) -> None:
@@ -297,10 +297,10 @@
             self.note_saved(task, saved)
         match how:
             case EndKind.DONE if not task.step.spec.service:
-                self._done(task)
+                self._mark_done(task)
             case EndKind.FAILED if not task.step.spec.service:
                 self.unplace(task)
-                self._failed(task)
+                self._count_failure(task)
             case _:
                 self.unplace(task)
 
@@ -310,7 +310,7 @@
         for member in members:
             member.saved = saved
 
-    def _done(self, task: Task) -> None:
+    def _mark_done(self, task: Task) -> None:
         step = task.step
         members = step.tasks if step.spec.gang else [task]
         for member in members:
@@ -324,7 +324,7 @@
         if not self.open and self.next_occurrence >= self.spec.occurrences():
             self.verdict = JobState.COMPLETED
 
-    def _failed(self, task: Task) -> None:
+    def _count_failure(self, task: Task) -> None:
         step = task.step
         if not step.spec.gang:
             task.failures += 1
--- a/cranberrycleat/workflow/takeover.py
+++ b/cranberrycleat/workflow/takeover.py
@@ -17,8 +17,8 @@
 from cranberrycleat.logs import emit, part_logger
 from cranberrycleat.table import Row
 from cranberrycleat.workflow import options, rows
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.directory import Directory
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.directory import WorkerDirectory
 from cranberrycleat.workflow.ports import FeedTable
 
 LOG: Final[logging.Logger] = part_logger("takeover")
@@ -34,7 +34,7 @@
 
 
 async def read_all(
-    lease: OwnershipLease, store: FeedTable, directory: Directory
+    lease: OwnershipLease, store: FeedTable, directory: WorkerDirectory
 ) -> StoredRows:
     """Read every row and the list of workers, however long that takes.
 
@@ -48,11 +48,11 @@
             return reading.result()
         except errors.TableUnavailable as exc:
             LOG.warning("The takeover waits for the table: %s", exc)
-            await asyncio.sleep(options.STORE_RETRY_S)
+            await asyncio.sleep(options.STORE_RETRY_INTERVAL_S)
             await _renew(lease)
 
 
-async def _read(store: FeedTable, directory: Directory) -> StoredRows:
+async def _read(store: FeedTable, directory: WorkerDirectory) -> StoredRows:
     specs, jobs, inbox, _ = await asyncio.gather(
         store.scan(prefix=f"{rows.SPECS}/"),
         store.scan(prefix=f"{rows.JOBS}/"),
@@ -70,7 +70,7 @@
     """
     try:
         while not reading.done():
-            await asyncio.wait({reading}, timeout=options.RENEW_S)
+            await asyncio.wait({reading}, timeout=options.LEASE_RENEW_INTERVAL_S)
             await _renew(lease)
     finally:
         reading.cancel()
@@ -82,25 +82,27 @@
         await lease.commit()
 
 
-def restore(board: Board, stored: StoredRows) -> None:
+def restore(cluster_state: ClusterState, stored: StoredRows) -> None:
     """Take in every job; a row that cannot be read is logged with its place."""
     specs = {row.key.partition("/")[2]: row for row in stored.specs}
     for row in stored.jobs:
         job_id = row.key.partition("/")[2]
         try:
-            _restore_job(board, job_id, row, specs.get(job_id))
+            _restore_job(cluster_state, job_id, row, specs.get(job_id))
         except errors.FindingsError as exc:
-            board.unreadable.add(job_id)
+            cluster_state.unreadable.add(job_id)
             emit(events.RowUnreadable(findings=str(exc)))
 
 
-def _restore_job(board: Board, job_id: str, row: Row, spec: Row | None) -> None:
-    progress = rows.read_row(row.value, row.key)
-    if progress.spec is not None:
-        board.restore(rows.restore(job_id, progress.spec, progress))
+def _restore_job(
+    cluster_state: ClusterState, job_id: str, row: Row, spec: Row | None
+) -> None:
+    job_row = rows.decode_job_row(row.value, row.key)
+    if job_row.spec is not None:
+        cluster_state.restore(rows.restore(job_id, job_row.spec, job_row))
         return
     if spec is None:
-        board.restore(rows.ended_job(job_id, progress))
+        cluster_state.restore(rows.ended_job(job_id, job_row))
         return
-    unchanging = codec.decode(spec.value, rows.SpecRow, place=spec.key)
-    board.restore(rows.restore(job_id, unchanging, progress))
+    spec_row = codec.decode(spec.value, rows.SpecRow, place=spec.key)
+    cluster_state.restore(rows.restore(job_id, spec_row, job_row))
--- a/cranberrycleat/workflow/telemetry.py
+++ b/cranberrycleat/workflow/telemetry.py
@@ -22,13 +22,13 @@
 
     metrics: Metrics
 
-    def take(self, event: Any) -> None:
+    def record_event(self, event: Any) -> None:
         """Count one event."""
-        self._jobs(event)
-        self._tasks(event)
-        self._owner(event)
+        self._record_job_event(event)
+        self._record_task_event(event)
+        self._record_owner_event(event)
 
-    def _jobs(self, event: Any) -> None:
+    def _record_job_event(self, event: Any) -> None:
         metrics = self.metrics
         match event:
             case events.JobAccepted(queue=queue, workspace=workspace):
@@ -59,7 +59,7 @@
             case events.JobShown(after_end_s=after_s):
                 metrics.record("jobs.shown.duration", after_s)
 
-    def _tasks(self, event: Any) -> None:
+    def _record_task_event(self, event: Any) -> None:
         metrics = self.metrics
         match event:
             case events.TaskPlaced(waited_s=waited_s, saved=saved):
@@ -86,7 +86,7 @@
             case events.PermitsFailed():
                 metrics.count("permits.failed")
 
-    def _owner(self, event: Any) -> None:
+    def _record_owner_event(self, event: Any) -> None:
         metrics = self.metrics
         match event:
             case events.OwnerTookOver(took_s=took_s):
--- a/cranberrycleat/workflow/upkeep.py
+++ b/cranberrycleat/workflow/upkeep.py
@@ -15,10 +15,10 @@
 
 import attrs
 
-from cranberrycleat.workflow.fleet import Fleet, FleetWorker, Placement, Standing
+from cranberrycleat.workflow.fleet import Fleet, FleetWorker, Liveness, Placement
 from cranberrycleat.workflow.state import StepRun
 
-WAIT_SHARE: Final = 0.5
+DRAIN_WAIT_FRACTION: Final = 0.5
 """Of the time that a wave leaves for each machine, the share in which running
 work may end by itself."""
 
@@ -83,7 +83,7 @@
     async def machines(self) -> tuple[Machine, ...]:
         """Return every machine; raises `MachinesUnavailable`."""
 
-    async def upkeep(
+    async def start_upkeep(
         self, *, machine: str, wave: int, holder: str, epoch: int
     ) -> MachineVerdict:
         """Have a machine's upkeep begin; raises `MachinesUnavailable`."""
@@ -109,8 +109,8 @@
     wave: Wave
     seen_at: float
     begun: set[str] = attrs.field(factory=set)
-    chosen: set[str] = attrs.field(factory=set)
-    told: str = ""
+    draining: set[str] = attrs.field(factory=set)
+    written_state: str = ""
 
     def left(self, machines: dict[str, Machine]) -> list[str]:
         """Return the machines that still have to begin."""
@@ -124,30 +124,30 @@
         """Tell whether every machine that is still there has begun."""
         return not self.left(machines)
 
-    def choose(self, machines: dict[str, Machine], fleet: Fleet) -> list[str]:
+    def select_machines(self, machines: dict[str, Machine], fleet: Fleet) -> list[str]:
         """Choose machines to empty, so that at most `cap` are away at once."""
         down = sum(
             machines[name].state is not MachineState.UP
             for name in self.wave.machines
             if name in machines
         )
-        self.chosen &= set(self.left(machines))
-        room = self.wave.cap - down - len(self.chosen)
+        self.draining &= set(self.left(machines))
+        available = self.wave.cap - down - len(self.draining)
         waiting = [
             name
             for name in self.left(machines)
-            if name not in self.chosen and machines[name].state is MachineState.UP
+            if name not in self.draining and machines[name].state is MachineState.UP
         ]
         waiting.sort(key=lambda name: (_load(machines[name], fleet), name))
-        fresh = waiting[: max(0, room)]
-        self.chosen.update(fresh)
-        return fresh
+        newly_draining = waiting[: max(0, available)]
+        self.draining.update(newly_draining)
+        return newly_draining
 
     def wait_s(self, now: float, machines: dict[str, Machine]) -> float:
         """Return how long a machine's work may still end by itself."""
         left_s = self.seen_at + self.wave.due_in_s - now
         rounds = -(-len(self.left(machines)) // max(1, self.wave.cap))
-        return left_s * WAIT_SHARE / max(1, rounds)
+        return left_s * DRAIN_WAIT_FRACTION / max(1, rounds)
 
 
 def _load(machine: Machine, fleet: Fleet) -> int:
@@ -155,39 +155,41 @@
     return 0 if worker is None else worker.used.processors
 
 
-def to_move(worker: FleetWorker) -> list[Placement]:
+def placements_to_move(worker: FleetWorker) -> list[Placement]:
     """Return the attempts that are to leave a machine before its upkeep, now."""
-    chosen: list[Placement] = []
+    selected: list[Placement] = []
     stopped: dict[str, int] = {}
     for each in worker.placements.values():
-        task = each.subject
+        task = each.tracked_task
         if task is None or each.stopping or not each.running:
             continue
         step = task.step
         if step.spec.service:
-            already = stopped.get(step.name, 0)
-            if absent(step) + already < step.spec.may_be_away:
-                stopped[step.name] = already + 1
-                chosen.append(each)
+            stopped_here = stopped.get(step.name, 0)
+            if absent_members(step) + stopped_here < step.spec.may_be_away:
+                stopped[step.name] = stopped_here + 1
+                selected.append(each)
         elif step.spec.checkpoints:
-            chosen.append(each)
-    return chosen
+            selected.append(each)
+    return selected
 
 
-def absent(step: StepRun) -> int:
+def absent_members(step: StepRun) -> int:
     """Return how many members of a service step are not at work."""
-    return sum(not task.at_work for task in step.tasks)
+    return sum(not task.at_full_speed for task in step.tasks)
 
 
-def may_begin(worker: FleetWorker | None, wait_s: float) -> bool:
+def may_begin_upkeep(worker: FleetWorker | None, wait_s: float) -> bool:
     """Tell whether a chosen machine's upkeep may begin.
 
     Services are never ended by it while their budget does not allow; anything
     else is waited for while there is time.
     """
-    if worker is None or worker.standing is Standing.GONE:
+    if worker is None or worker.liveness is Liveness.GONE:
         return True
     placements = list(worker.placements.values())
-    if any(each.subject and each.subject.step.spec.service for each in placements):
+    if any(
+        each.tracked_task and each.tracked_task.step.spec.service for each in placements
+    ):
         return False
     return not placements or wait_s <= 0
--- a/cranberrycleat/workflow/upkeep_director.py
+++ b/cranberrycleat/workflow/upkeep_director.py
@@ -11,7 +11,7 @@
 from cranberrycleat.clock import Clock
 from cranberrycleat.logs import emit, part_logger
 from cranberrycleat.table import Put, Table, Transaction
-from cranberrycleat.workflow.board import Board
+from cranberrycleat.workflow.cluster_state import ClusterState
 from cranberrycleat.workflow.fleet import FleetWorker
 from cranberrycleat.workflow.upkeep import (
     Machine,
@@ -20,13 +20,13 @@
     MachineVerdict,
     Wave,
     WaveRun,
-    may_begin,
-    to_move,
+    may_begin_upkeep,
+    placements_to_move,
 )
 
 LOG: Final[logging.Logger] = part_logger("upkeep")
-STEP_S: Final = 0.3
-LOOK_S: Final = 1.0
+POLL_INTERVAL_S: Final = 0.3
+LIST_INTERVAL_S: Final = 1.0
 """How often the machines are listed while a wave is under way."""
 SETTLE_S: Final = 3.2
 """A new owner gives no orders for machines before a predecessor's are old: the
@@ -56,7 +56,7 @@
     writer: Table
     status: Callable[[int, str], Put]
     waves: Callable[[], dict[int, Wave]]
-    board: Board
+    cluster_state: ClusterState
     holder: str
     epoch: Callable[[], int]
     may_order: Callable[[], bool]
@@ -70,61 +70,63 @@
         """Work on waves until cancelled."""
         began = self.clock.now()
         while True:
-            await asyncio.sleep(STEP_S)
-            self._meet_waves()
-            open_runs = [run for run in self.runs.values() if run.told != COMPLETED]
+            await asyncio.sleep(POLL_INTERVAL_S)
+            self._register_waves()
+            open_runs = [
+                run for run in self.runs.values() if run.written_state != COMPLETED
+            ]
             if not open_runs or self.clock.now() - began < SETTLE_S:
                 continue
             try:
-                await self._look()
+                await self._refresh_machines()
                 for run in open_runs:
-                    await self._advance(run)
+                    await self._advance_wave(run)
             except MachinesUnavailable as exc:
                 LOG.info("The interface to machines does not answer: %s", exc)
             except errors.TableUnavailable as exc:
                 LOG.info("A wave's state was not written: %s", exc)
 
-    def _meet_waves(self) -> None:
+    def _register_waves(self) -> None:
         for number, wave in self.waves().items():
             if number not in self.runs:
                 emit(events.WaveSeen(wave=number, machines=len(wave.machines)))
                 self.runs[number] = WaveRun(wave=wave, seen_at=self.clock.now())
 
-    async def _look(self) -> None:
-        if self.clock.now() - self._listed_at < LOOK_S:
+    async def _refresh_machines(self) -> None:
+        if self.clock.now() - self._listed_at < LIST_INTERVAL_S:
             return
         found = await self.client.machines()
         self._listed_at = self.clock.now()
         self._machines = {each.name: each for each in found}
 
-    async def _advance(self, run: WaveRun) -> None:
-        if not run.told:
-            await self._tell(run, RUNNING)
+    async def _advance_wave(self, run: WaveRun) -> None:
+        if not run.written_state:
+            await self._write_status(run, RUNNING)
         now = self.clock.now()
-        run.choose(self._machines, self.board.fleet)
-        for name in sorted(run.chosen):
-            await self._empty(run, self._machines[name], now)
+        run.select_machines(self._machines, self.cluster_state.fleet)
+        for name in sorted(run.draining):
+            await self._drain_machine(run, self._machines[name], now)
         if run.is_complete(self._machines):
-            await self._tell(run, COMPLETED)
+            await self._write_status(run, COMPLETED)
 
-    async def _empty(self, run: WaveRun, machine: Machine, now: float) -> None:
-        worker = self.board.fleet.newest.get(machine.worker)
+    async def _drain_machine(self, run: WaveRun, machine: Machine, now: float) -> None:
+        worker = self.cluster_state.fleet.newest.get(machine.worker)
         if worker is not None:
-            self._move_away(worker)
+            self._evacuate(worker)
         wait_s = run.wait_s(now, self._machines)
-        if may_begin(worker, wait_s) and self.may_order():
-            await self._begin(run, machine, worker)
+        if may_begin_upkeep(worker, wait_s) and self.may_order():
+            await self._start_upkeep(run, machine, worker)
 
-    def _move_away(self, worker: FleetWorker) -> None:
+    def _evacuate(self, worker: FleetWorker) -> None:
         worker.held = True
-        for placement in to_move(worker):
-            self.board.stop(worker, placement, "upkeep")
+        for placement in placements_to_move(worker):
+            self.cluster_state.stop(worker, placement, "upkeep")
         self.stop_soon()
 
-    async def _begin(
+    async def _start_upkeep(
         self, run: WaveRun, machine: Machine, worker: FleetWorker | None
     ) -> None:
-        verdict = await self.client.upkeep(
+        verdict = await self.client.start_upkeep(
             machine=machine.name,
             wave=run.wave.number,
             holder=self.holder,
@@ -138,14 +140,14 @@
         match verdict:
             case MachineVerdict.ACCEPTED | MachineVerdict.NO_MACHINE:
                 run.begun.add(machine.name)
-                run.chosen.discard(machine.name)
+                run.draining.discard(machine.name)
                 self._listed_at = float("-inf")
             case _ if worker is not None:
                 worker.held = False
-                run.chosen.discard(machine.name)
+                run.draining.discard(machine.name)
 
-    async def _tell(self, run: WaveRun, state: str) -> None:
+    async def _write_status(self, run: WaveRun, state: str) -> None:
         put = self.status(run.wave.number, state)
         await self.writer.commit(Transaction(puts=(put,)))
-        run.told = state
-        emit(events.WaveTold(wave=run.wave.number, state=state))
+        run.written_state = state
+        emit(events.WaveStatusWritten(wave=run.wave.number, state=state))
--- a/cranberrycleat/workflow/falls.py
+++ b/cranberrycleat/workflow/worker_failures.py
@@ -13,19 +13,19 @@
 
 from cranberrycleat.workflow.ports import WorkerEntry
 
-FELL_S: Final = 10.0
+FAILED_MACHINE_COOLDOWN_S: Final = 10.0
 """How long a machine on which a worker was lost is no place for a task that may crash
 its workers: one that falls each few seconds would tell of no task."""
-COMMON_CAUSE: Final = 2
+MIN_COMMON_CAUSE_FAILURES: Final = 2
 """Other workers, of any rack, that must fall with one for a cause that they share; a
 single one may fall at that moment by chance."""
-TOGETHER_SHARE: Final = 0.5
+RACK_FAILURE_SHARE: Final = 0.5
 """The share of a rack's other machines that must fall with one for a cause of the
 rack's own; some may be out of use, or have fallen before."""
 
 
 @attrs.frozen(kw_only=True)
-class Fall:
+class WorkerFailure:
     """The last fall of a worker at an address; times on the owner's clock.
 
     Attributes:
@@ -35,18 +35,21 @@
         racks: The racks that the worker said it was in.
     """
 
-    heard_at: float
-    noticed_at: float
+    last_heard_at: float
+    detected_at: float
     jobs: frozenset[str]
     racks: frozenset[str] = frozenset()
 
-    def may_be_with(self, other: "Fall") -> bool:
+    def may_be_simultaneous(self, other: "WorkerFailure") -> bool:
         """Tell whether two workers may have fallen at the same moment."""
-        return self.heard_at <= other.noticed_at and other.heard_at <= self.noticed_at
+        return (
+            self.last_heard_at <= other.detected_at
+            and other.last_heard_at <= self.detected_at
+        )
 
 
 @attrs.frozen(kw_only=True)
-class SimultaneousFalls:
+class CorrelatedFailures:
     """Falls that may have come at the same moment as a worker's.
 
     Attributes:
@@ -54,23 +57,23 @@
         everywhere: All of them.
     """
 
-    rack: tuple[Fall, ...] = ()
-    everywhere: tuple[Fall, ...] = ()
+    rack: tuple[WorkerFailure, ...] = ()
+    all_failures: tuple[WorkerFailure, ...] = ()
 
-    def clear(self, job_id: str) -> bool:
+    def exonerates(self, job_id: str) -> bool:
         """Tell whether the cause is not a job's that had just begun on the worker.
 
         Falls on which it had just begun too say nothing: its tasks may have crashed
         each of these workers.
         """
-        if any(job_id not in fall.jobs for fall in self.rack):
+        if any(job_id not in failure.jobs for failure in self.rack):
             return True
-        others = sum(job_id not in fall.jobs for fall in self.everywhere)
-        return others >= COMMON_CAUSE
+        others = sum(job_id not in failure.jobs for failure in self.all_failures)
+        return others >= MIN_COMMON_CAUSE_FAILURES
 
 
 @attrs.define(kw_only=True, eq=False)
-class Falls:
+class WorkerFailures:
     """The falls that an owner has seen.
 
     Attributes:
@@ -78,39 +81,43 @@
         watched_since: Since when this owner would have seen one.
     """
 
-    seen: dict[str, Fall] = attrs.field(factory=dict)
-    watched_since: float = float("-inf")
+    by_address: dict[str, WorkerFailure] = attrs.field(factory=dict)
+    observing_since: float = float("-inf")
 
-    def note(self, entry: WorkerEntry, fall: Fall) -> None:
+    def record_failure(self, entry: WorkerEntry, failure: WorkerFailure) -> None:
         """Put down a fall."""
         if entry.address:
-            self.seen[entry.address] = fall
+            self.by_address[entry.address] = failure
 
-    def stood_s(self, address: str, now: float) -> float:
+    def stable_for_s(self, address: str, now: float) -> float:
         """Return for how long no worker is known to have fallen at an address."""
-        fall = self.seen.get(address)
-        fell_at = float("-inf") if fall is None else fall.noticed_at
-        return now - max(fell_at, self.watched_since)
+        failure = self.by_address.get(address)
+        failed_at = float("-inf") if failure is None else failure.detected_at
+        return now - max(failed_at, self.observing_since)
 
-    def together_with(self, address: str, mates: set[str]) -> SimultaneousFalls:
+    def correlated_with(
+        self, address: str, rack_addresses: set[str]
+    ) -> CorrelatedFailures:
         """Return the falls that may have come with the one at an address.
 
         Args:
             address: Where the worker was.
             mates: The addresses of its rack's other machines (see `of_its_rack`).
         """
-        fall = self.seen.get(address)
-        if fall is None:
-            return SimultaneousFalls()
-        everywhere = tuple(
+        failure = self.by_address.get(address)
+        if failure is None:
+            return CorrelatedFailures()
+        all_failures = tuple(
             each
-            for other, each in self.seen.items()
-            if other != address and each.may_be_with(fall)
+            for other, each in self.by_address.items()
+            if other != address and each.may_be_simultaneous(failure)
         )
-        rack = self.of_its_rack(address, mates)
-        return SimultaneousFalls(rack=rack, everywhere=everywhere)
+        rack = self.rack_failures(address, rack_addresses)
+        return CorrelatedFailures(rack=rack, all_failures=all_failures)
 
-    def of_its_rack(self, address: str, mates: set[str]) -> tuple[Fall, ...]:
+    def rack_failures(
+        self, address: str, rack_addresses: set[str]
+    ) -> tuple[WorkerFailure, ...]:
         """Return the falls of a rack that fell with one of its workers.
 
         Args:
@@ -122,14 +129,22 @@
             What may have fallen at the same moment, or nothing if that is too little
             of the rack.
         """
-        fall = self.seen.get(address)
-        if fall is None:
+        failure = self.by_address.get(address)
+        if failure is None:
             return ()
-        mates = mates | {
+        rack_addresses = rack_addresses | {
             each
-            for each, other in self.seen.items()
-            if each != address and other.racks & fall.racks
+            for each, other in self.by_address.items()
+            if each != address and other.racks & failure.racks
         }
-        fell = [self.seen[each] for each in mates if each in self.seen]
-        together = tuple(each for each in fell if each.may_be_with(fall))
-        return together if len(together) >= TOGETHER_SHARE * len(mates) else ()
+        failed = [
+            self.by_address[each] for each in rack_addresses if each in self.by_address
+        ]
+        simultaneous = tuple(
+            each for each in failed if each.may_be_simultaneous(failure)
+        )
+        return (
+            simultaneous
+            if len(simultaneous) >= RACK_FAILURE_SHARE * len(rack_addresses)
+            else ()
+        )
--- a/cranberrycleat/writer.py
+++ b/cranberrycleat/writer.py
@@ -19,9 +19,9 @@
 from cranberrycleat.clock import Clock, MonotonicClock
 from cranberrycleat.table import Check, Put, Row, Table, Transaction
 
-MAX_GROUP: Final = 128
-SETTLE_TRIES: Final = 3
-REST_S: Final = 1.0
+MAX_BATCH_CHANGES: Final = 128
+MAX_ATTEMPTS: Final = 3
+FAILURE_BACKOFF_S: Final = 1.0
 """How long nothing new is tried after the table gave no answer, in seconds."""
 
 
@@ -39,40 +39,40 @@
 
 
 @attrs.frozen(kw_only=True)
-class Won:
+class Committed:
     """The change took effect; the row now has this version."""
 
     version: int
 
 
 @attrs.frozen(kw_only=True)
-class Lost:
+class Conflicted:
     """The condition did not hold; the row that is there, if any."""
 
     row: Row | None
 
 
 @attrs.frozen(kw_only=True)
-class Unsettled:
+class OutcomeUnknown:
     """No answer; the change may have taken effect, or may yet."""
 
 
 @attrs.frozen(kw_only=True)
-class Untried(Unsettled):
+class NotAttempted(OutcomeUnknown):
     """No answer to others lately, so that this change was not even sent."""
 
 
-WriteResult = Won | Lost | Unsettled
+WriteResult = Committed | Conflicted | OutcomeUnknown
 
 
 @attrs.define(kw_only=True, eq=False)
-class _Waiting:
+class _QueuedChange:
     change: Change
     result: "asyncio.Future[WriteResult]"
 
 
 @attrs.define(kw_only=True, eq=False)
-class GroupedWriter:
+class BatchingWriter:
     """Groups changes from many tasks into transactions.
 
     Attributes:
@@ -86,11 +86,11 @@
 
     table: Table
     clock: Clock = attrs.field(factory=MonotonicClock)
-    gather_s: float = 0.002
-    most: int = MAX_GROUP
-    most_bytes: int = sys.maxsize
+    batch_window_s: float = 0.002
+    max_changes: int = MAX_BATCH_CHANGES
+    max_bytes: int = sys.maxsize
     transactions: int = 0
-    _waiting: list[_Waiting] = attrs.field(factory=list)
+    _queue: list[_QueuedChange] = attrs.field(factory=list)
     _sender: "asyncio.Task[None] | None" = None
     _failed_at: float = float("-inf")
 
@@ -100,78 +100,80 @@
         For a short while after the table gave no answer, changes are not even
         tried: who asks then is told at once instead of waiting as well.
         """
-        if self.clock.now() - self._failed_at < REST_S:
-            return Untried()
+        if self.clock.now() - self._failed_at < FAILURE_BACKOFF_S:
+            return NotAttempted()
         fut: "asyncio.Future[WriteResult]" = asyncio.get_running_loop().create_future()
-        self._waiting.append(_Waiting(change=change, result=fut))
+        self._queue.append(_QueuedChange(change=change, result=fut))
         if self._sender is None or self._sender.done():
             self._sender = asyncio.create_task(self._send_all())
         return await fut
 
     async def _send_all(self) -> None:
-        while self._waiting:
-            await asyncio.sleep(self.gather_s)
-            await self._send(self._next_group())
+        while self._queue:
+            await asyncio.sleep(self.batch_window_s)
+            await self._send(self._next_batch())
 
-    def _next_group(self) -> list[_Waiting]:
+    def _next_batch(self) -> list[_QueuedChange]:
         """Take the next changes, no two of the same row."""
-        group: list[_Waiting] = []
-        left: list[_Waiting] = []
+        batch: list[_QueuedChange] = []
+        left: list[_QueuedChange] = []
         keys: set[str] = set()
         size = 0
-        for each in self._waiting:
+        for each in self._queue:
             key = each.change.put.key
             more = len(each.change.put.value)
-            full = len(group) >= self.most or (group and size + more > self.most_bytes)
+            full = len(batch) >= self.max_changes or (
+                batch and size + more > self.max_bytes
+            )
             if key in keys or full:
                 left.append(each)
             else:
                 keys.add(key)
-                group.append(each)
+                batch.append(each)
                 size += more
-        self._waiting = left
-        return group
+        self._queue = left
+        return batch
 
-    async def _send(self, group: list[_Waiting]) -> None:
+    async def _send(self, batch: list[_QueuedChange]) -> None:
         tries = 0
-        while group:
+        while batch:
             try:
-                group = await self._send_once(group)
+                batch = await self._send_once(batch)
             except errors.TableUnavailable:
                 tries += 1
                 self._failed_at = self.clock.now()
-                if tries >= SETTLE_TRIES:
-                    self._resolve(group, Unsettled())
+                if tries >= MAX_ATTEMPTS:
+                    self._resolve(batch, OutcomeUnknown())
                     return
 
-    async def _send_once(self, group: list[_Waiting]) -> list[_Waiting]:
+    async def _send_once(self, batch: list[_QueuedChange]) -> list[_QueuedChange]:
         """Send one transaction; return the changes to be sent again."""
         self.transactions += 1
         reply = await self.table.commit(
             Transaction(
-                checks=tuple(each.change.check for each in group),
-                puts=tuple(each.change.put for each in group),
+                checks=tuple(each.change.check for each in batch),
+                puts=tuple(each.change.put for each in batch),
             )
         )
         if reply.committed:
-            self._resolve(group, Won(version=reply.version))
+            self._resolve(batch, Committed(version=reply.version))
             return []
-        lost = [each for each in group if each.change.put.key in reply.conflicts]
+        lost = [each for each in batch if each.change.put.key in reply.conflicts]
         rows = await self.table.read(keys=tuple(each.change.put.key for each in lost))
         found = {row.key: row for row in rows}
         for each in lost:
-            self._resolve([each], _verdict(each.change, found))
-        return [each for each in group if each not in lost]
+            self._resolve([each], _conflict_result(each.change, found))
+        return [each for each in batch if each not in lost]
 
     @staticmethod
-    def _resolve(group: list[_Waiting], result: WriteResult) -> None:
-        for each in group:
+    def _resolve(batch: list[_QueuedChange], result: WriteResult) -> None:
+        for each in batch:
             if not each.result.done():
                 each.result.set_result(result)
 
 
-def _verdict(change: Change, found: dict[str, Row]) -> WriteResult:
+def _conflict_result(change: Change, found: dict[str, Row]) -> WriteResult:
     row = found.get(change.put.key)
     if row is not None and row.value == change.put.value:
-        return Won(version=row.version)
-    return Lost(row=row)
+        return Committed(version=row.version)
+    return Conflicted(row=row)
--- a/tests/cell.py
+++ b/tests/cell.py
@@ -11,12 +11,12 @@
 from cranberrycleat.http_client import HttpClient
 from cranberrycleat.lease import OwnershipLease
 from cranberrycleat.standins.feed_table import MemoryFeedTable
-from cranberrycleat.standins.fleet import StandinFleet, Worker
+from cranberrycleat.standins.fleet import SimulatedWorker, StandinFleet
 from cranberrycleat.table import Put, Row, Transaction
 from cranberrycleat.workflow import options
-from cranberrycleat.workflow.access import Access
-from cranberrycleat.workflow.directory import ConfigFollower, Directory
-from cranberrycleat.workflow.door import Door
+from cranberrycleat.workflow.access import KeyAuthorizer
+from cranberrycleat.workflow.directory import ConfigFollower, WorkerDirectory
+from cranberrycleat.workflow.job_frontend import JobFrontend
 from cranberrycleat.workflow.membership import Membership
 from cranberrycleat.workflow.options import WorkerLeases
 from cranberrycleat.workflow.owner import Owner
@@ -31,7 +31,7 @@
     WorkerEntry,
 )
 from cranberrycleat.workflow.spec import StepSpec, WorkflowSpec
-from cranberrycleat.writer import GroupedWriter
+from cranberrycleat.writer import BatchingWriter
 
 POOL = "pool"
 BOUNDS = LeaseBounds(longest_lease_s=10.0, clock_error=0.02, stop_s=0.05)
@@ -117,15 +117,15 @@
         self.list_worker(name)
 
     def __attrs_post_init__(self) -> None:
-        self.fleet.came_back = self._list_next_life
+        self.fleet.on_restart = self._list_next_incarnation
 
-    def _list_next_life(self, found: WorkerEntry, before: str) -> None:
+    def _list_next_incarnation(self, found: WorkerEntry, before: str) -> None:
         self.entries[found.worker] = found
         self.list_worker(found.worker)
         if found.worker != before:
             self.unlist_worker(before)
 
-    def restart_worker(self, name: str) -> Worker:
+    def restart_worker(self, name: str) -> SimulatedWorker:
         """Have a worker start again under its identity; the platform lists that."""
         after = self.fleet.restart(name)
         self.entries[name] = after.entry
@@ -153,13 +153,13 @@
             key="owner/cell",
             holder=f"{name}@{name}:1#1",
             lease_s=OWNER_LEASE_S,
-            acts_on_s=options.RENEW_AFTER_LAPSE_S,
+            grants_outlive_lease_s=options.RENEW_AFTER_LAPSE_S,
         )
         peers = PeerClient(http=self.http)
         owner = Owner(
             lease=lease,
             store=self.table,
-            directory=Directory(
+            directory=WorkerDirectory(
                 store=self.table, table="servers", read=self.read_worker
             ),
             client=self.fleet,
@@ -175,7 +175,7 @@
             status_s=120.0,
             peers=Membership(),
         )
-        owner.board.quotas.quotas = self.quotas
+        owner.cluster_state.quotas.quotas = self.quotas
         return owner
 
     async def own(self, name: str = "one") -> Owner:
@@ -187,7 +187,9 @@
         await owner.ready.wait()
         return owner
 
-    def door(self, owner: Callable[[], Owner | None], **more: object) -> Door:
+    def job_frontend(
+        self, owner: Callable[[], Owner | None], **more: object
+    ) -> JobFrontend:
         """Return a door beside an owner."""
         config = ConfigFollower(
             store=self.table, table="op", key="op/config", read=lambda row: CONFIG
@@ -195,14 +197,14 @@
         config.current = CONFIG
         given: dict[str, object] = {
             "config": config,
-            "access": Access(
+            "access": KeyAuthorizer(
                 config=lambda: config.current,
                 confirmed_at=self.clock.now,
                 clock=self.clock,
                 config_bound_s=3.0,
             ),
             "store": self.table,
-            "inbox": GroupedWriter(table=self.table, clock=self.clock),
+            "inbox": BatchingWriter(table=self.table, clock=self.clock),
             "peers": PeerClient(http=self.http),
             "owner": owner,
             "owner_address": lambda: "",
@@ -213,7 +215,7 @@
             "left_in_inbox": lambda: None,
             "clock": self.clock,
         }
-        return Door(**{**given, **more})  # type: ignore[arg-type]
+        return JobFrontend(**{**given, **more})  # type: ignore[arg-type]
 
     async def close(self) -> None:
         """End every owner at once, as a kill would."""
@@ -229,13 +231,13 @@
 @contextlib.asynccontextmanager
 async def cell(workers: int = 3, **more: object) -> AsyncIterator[Cell]:
     """Run a cell with some workers."""
-    made = Cell(**more)  # type: ignore[arg-type]
+    env = Cell(**more)  # type: ignore[arg-type]
     for number in range(workers):
-        made.add_worker(f"w{number}")
+        env.add_worker(f"w{number}")
     try:
-        yield made
+        yield env
     finally:
-        await made.close()
+        await env.close()
 
 
 async def submit(
