--- a/tests/config_soak.py
+++ b/tests/config_soak.py
@@ -36,10 +36,10 @@
     "pause",
 )
 """What is drawn from; writes twice as often."""
-LONGEST_PAUSE_S: Final = 1.3
+MAX_PAUSE_S: Final = 1.3
 """Longer than a reading may bring nothing."""
-MOST_QUEUES: Final = 600
-CALM_S: Final = 20.0
+MAX_QUEUES: Final = 600
+CONVERGENCE_TIMEOUT_S: Final = 20.0
 """Far longer than two readings, a silent one among them."""
 
 
@@ -94,10 +94,10 @@
             hosts = [self._host(store) for _ in range(HOSTS)]
             tasks = [asyncio.create_task(host.follow()) for host in hosts]
             try:
-                await self._trouble(table, hosts)
-                await self._calm(table, hosts)
+                await self._inject_faults(table, hosts)
+                await self._await_convergence(table, hosts)
                 ended = [task.exception() for task in tasks if task.done()]
-                return [*self._faults_of(hosts), *(f"ended: {exc!r}" for exc in ended)]
+                return [*self._violations(hosts), *(f"ended: {exc!r}" for exc in ended)]
             finally:
                 for task in tasks:
                     task.cancel()
@@ -113,13 +113,13 @@
         )
         return Host(follower=follower)
 
-    async def _trouble(self, table: SlowLinkTable, hosts: list[Host]) -> None:
+    async def _inject_faults(self, table: SlowLinkTable, hosts: list[Host]) -> None:
         until = time.monotonic() + self.seconds
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.expovariate(4.0))
-            what = self._rng.choice(ACTIONS)
-            self.faults.append(what)
-            match what:
+            action = self._rng.choice(ACTIONS)
+            self.faults.append(action)
+            match action:
                 case "write":
                     self._write(table, hosts)
                 case "series":
@@ -135,27 +135,27 @@
                 case "forget":
                     table.forget()
                 case _:
-                    time.sleep(self._rng.uniform(0.1, LONGEST_PAUSE_S))
+                    time.sleep(self._rng.uniform(0.1, MAX_PAUSE_S))
 
     def _write(self, table: SlowLinkTable, hosts: list[Host]) -> None:
         version = max(self.written) + self._rng.randint(1, 3)
-        queues = self._rng.randint(1, MOST_QUEUES)
+        queues = self._rng.randint(1, MAX_QUEUES)
         self.written[version] = queues
         table.write(version, queues=queues)
         for host in hosts:
             if self._rng.random() < 0.5:
-                host.follower.hear(version, time.monotonic())
+                host.follower.note_version(version, time.monotonic())
 
-    async def _calm(self, table: SlowLinkTable, hosts: list[Host]) -> None:
+    async def _await_convergence(self, table: SlowLinkTable, hosts: list[Host]) -> None:
         """End the faults, and wait until all hold the newest."""
         table.break_off_at = table.silent_at = table.refusals = 0
         newest = max(self.written)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CALM_S):
+            async with asyncio.timeout(CONVERGENCE_TIMEOUT_S):
                 while any(host.follower.version != newest for host in hosts):
                     await asyncio.sleep(WAIT_S)
 
-    def _faults_of(self, hosts: list[Host]) -> list[str]:
+    def _violations(self, hosts: list[Host]) -> list[str]:
         newest = max(self.written)
         found: list[str] = []
         for number, host in enumerate(hosts):
@@ -170,7 +170,7 @@
                     f"host {number} holds {host.follower.version}, not {newest}"
                 )
             elif host.follower.late_s(time.monotonic()) > 0:
-                found.append(f"host {number} thinks that it is late")
+                found.append(f"host {number} considers its configuration late")
         return found
 
 
@@ -188,16 +188,16 @@
 )
 def main(seed: int, runs: int, seconds: float) -> None:
     """Play some seeds; exits with 1 where one shows a fault."""
-    bad = 0
+    failed = 0
     for each in range(seed, seed + runs):
         soak = Soak(seed=each, seconds=seconds)
         found = asyncio.run(soak.run())
-        bad += bool(found)
+        failed += bool(found)
         click.echo(f"seed {each}: {len(soak.written)} versions, {found or 'good'}")
         if found:
             click.echo(f"  {soak.faults}")
-    click.echo(f"{runs - bad} good, {bad} bad")
-    raise SystemExit(1 if bad else 0)
+    click.echo(f"{runs - failed} good, {failed} bad")
+    raise SystemExit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,17 +9,19 @@
 
 import pytest
 
-LIST: Final = Path(__file__).parent.parent / "KNOWN-RED.txt"
+KNOWN_RED_FILE: Final = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def known_red(text: str) -> dict[str, str]:
+def parse_known_red(text: str) -> dict[str, str]:
     """Return the listed tests and what is said of each."""
     lines = (line.partition("|") for line in text.splitlines() if line.strip())
-    return {test.strip(): said.strip() for test, _, said in lines}
+    return {test.strip(): details.strip() for test, _, details in lines}
 
 
 def _read() -> dict[str, str]:
-    return known_red(LIST.read_text()) if LIST.exists() else {}
+    return (
+        parse_known_red(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.exists() else {}
+    )
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -38,6 +40,6 @@
         return
     terminalreporter.section("known red (KNOWN-RED.txt), not counted as failures")
     passed = {each.nodeid for each in terminalreporter.stats.get("xpassed", ())}
-    for test, said in listed.items():
+    for test, details in listed.items():
         outcome = "PASSED this time" if test in passed else "expected to fail"
-        terminalreporter.write_line(f"{test}: {outcome} | {said}")
+        terminalreporter.write_line(f"{test}: {outcome} | {details}")
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -18,13 +18,13 @@
 T = TypeVar("T")
 
 
-def go(work: Coroutine[Any, Any, T]) -> T:
+def run_async(work: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine to its end."""
     return asyncio.run(work)
 
 
 @attrs.define(kw_only=True, eq=False)
-class LateTable:
+class DelayedTable:
     """A table whose commits can be held back and land later, or never.
 
     Attributes:
@@ -34,7 +34,7 @@
     """
 
     inner: MemoryTable = attrs.field(factory=MemoryTable)
-    hold: bool = False
+    delay_commits: bool = False
     held: list[Transaction] = attrs.field(factory=list)
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
@@ -47,12 +47,12 @@
 
     async def commit(self, txn: Transaction) -> CommitReply:
         """Commit through, or hold the transaction back."""
-        if self.hold:
+        if self.delay_commits:
             self.held.append(txn)
             raise errors.TableUnavailable("held back")
         return await self.inner.commit(txn)
 
-    def land(self) -> None:
+    def deliver(self) -> None:
         """Let every commit that was held back arrive now."""
         for txn in self.held:
             self.inner.apply(txn)
@@ -83,17 +83,17 @@
     """
 
     standin: WorkerStandin
-    cut: bool = False
-    catch: bool = False
+    disconnected: bool = False
+    intercept: bool = False
     late: list[SyncOrder] = attrs.field(factory=list)
 
     async def sync(self, order: SyncOrder) -> SyncReply:
         """Hand the order over, unless the link is cut."""
-        if self.catch:
+        if self.intercept:
             self.late.append(order)
-        if self.cut or self.catch:
+        if self.disconnected or self.intercept:
             raise errors.PeerUnavailable("cut")
-        return self.standin.obey(order)
+        return self.standin.apply_orders(order)
 
     async def close(self) -> None:
         """Nothing to close."""
@@ -141,13 +141,13 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         writer.close()
 
-    async def _one(
+    async def _serve_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
--- a/tests/http_workers.py
+++ b/tests/http_workers.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from cranberrycleat.standins.fleet import StandinFleet, Worker
+from cranberrycleat.standins.fleet import SimulatedWorker, StandinFleet
 from cranberrycleat.workflow.ports import (
     EndKind,
     OrderReply,
@@ -22,7 +22,7 @@
     WorkerUnreachable,
 )
 
-HOW = {
+END_KINDS = {
     EndKind.DONE: "done",
     EndKind.FAILED: "failed",
     EndKind.STOPPED: "stopped",
@@ -126,7 +126,7 @@
             await asyncio.sleep(60.0)
             return 503, {}
 
-    async def _start(self, worker: Worker, req: dict[str, Any]) -> OrderReply:
+    async def _start(self, worker: SimulatedWorker, req: dict[str, Any]) -> OrderReply:
         order = StartOrder(
             task=req["task"],
             attempt=req["run"],
@@ -147,7 +147,7 @@
                 for each in reply.running
             ],
             "ended": [
-                [each.number, each.task, each.attempt, HOW[each.how], each.saved]
+                [each.number, each.task, each.attempt, END_KINDS[each.how], each.saved]
                 for each in reply.ended
             ],
         }
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -12,27 +12,27 @@
 
 import attrs
 
-LISTENING: Final = re.compile(r"listening on (http://\S+)")
-WAIT_S: Final = 30.0
-STEP_S: Final = 0.05
+LISTENING_PATTERN: Final = re.compile(r"listening on (http://\S+)")
+WAIT_TIMEOUT_S: Final = 30.0
+POLL_INTERVAL_S: Final = 0.05
 
 
 @attrs.define(kw_only=True, eq=False)
-class Program:
+class ProgramProcess:
     """One running program."""
 
     process: "subprocess.Popen[str]"
     url: str
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Pause it, as a host under strain would."""
         self.process.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let it go on."""
         self.process.send_signal(signal.SIGCONT)
 
-    def hang_up(self) -> None:
+    def send_sighup(self) -> None:
         """Tell it that its settings may have changed."""
         self.process.send_signal(signal.SIGHUP)
 
@@ -44,14 +44,14 @@
     def terminate(self) -> int:
         """Ask it to shut down and return its exit code."""
         self.process.terminate()
-        return self.process.wait(timeout=WAIT_S)
+        return self.process.wait(timeout=WAIT_TIMEOUT_S)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Fleet:
     """The programs that one test started; all are ended with it."""
 
-    programs: list[Program] = attrs.field(factory=list)
+    programs: list[ProgramProcess] = attrs.field(factory=list)
 
     def __enter__(self) -> "Fleet":
         return self
@@ -60,14 +60,14 @@
         self,
         kind: type[BaseException] | None,
         exc: BaseException | None,
-        trace: TracebackType | None,
+        traceback: TracebackType | None,
     ) -> None:
         for program in self.programs:
-            program.wake()
+            program.resume()
             program.process.kill()
             program.process.wait()
 
-    def start(self, *args: str) -> Program:
+    def start(self, *args: str) -> ProgramProcess:
         """Start a daemon and wait until it listens."""
         process = subprocess.Popen(
             [sys.executable, "-m", "cranberrycleat", *args],
@@ -78,31 +78,39 @@
         )
         assert process.stdout is not None
         line = process.stdout.readline()
-        match = LISTENING.search(line)
+        match = LISTENING_PATTERN.search(line)
         assert match, f"{args}: {line!r}"
-        program = Program(process=process, url=match.group(1))
+        program = ProgramProcess(process=process, url=match.group(1))
         self.programs.append(program)
         return program
 
-    def platform(self) -> Program:
+    def platform(self) -> ProgramProcess:
         """Start the platform stand-in."""
         return self.start("standin", "platform")
 
-    def worker(self, name: str, platform: Program, *more: str) -> Program:
+    def worker(
+        self, name: str, platform: ProgramProcess, *extra_args: str
+    ) -> ProgramProcess:
         """Start a worker stand-in of data centre `dc-a`."""
         args = ["--name", name, "--data-centre", "dc-a", "--rack", "r1"]
-        args += ["--platform", platform.url, "--labels", "tier=live", *more]
+        args += ["--platform", platform.url, "--labels", "tier=live", *extra_args]
         return self.start("standin", "worker", *args)
 
-    def scheduler(self, name: str, platform: Program, *more: str) -> Program:
+    def scheduler(
+        self, name: str, platform: ProgramProcess, *extra_args: str
+    ) -> ProgramProcess:
         """Start a scheduler of data centre `dc-a` with short times."""
         args = ["--name", name, "--data-centre", "dc-a", "--platform", platform.url]
         args += ["--lease-s", "1.0", "--worker-lease-s", "3.0", "--sync-s", "0.2"]
         args += ["--order-s", "0.5", "--round-s", "0.1", "--release-after-s", "0.5"]
         args += ["--drain-s", "0.2", "--leave-s", "0.5", "--config-poll-s", "0.2"]
-        return self.start("scheduler", *args, "--platform-timeout-s", "0.5", *more)
+        return self.start(
+            "scheduler", *args, "--platform-timeout-s", "0.5", *extra_args
+        )
 
-    def gateway(self, name: str, platform: Program, *peers: Program) -> Program:
+    def gateway(
+        self, name: str, platform: ProgramProcess, *peers: ProgramProcess
+    ) -> ProgramProcess:
         """Start a gateway of data centre `dc-a` with short times."""
         args = ["--name", name, "--data-centre", "dc-a", "--platform", platform.url]
         args += ["--peers", ",".join(peer.url for peer in peers)]
@@ -118,15 +126,15 @@
         capture_output=True,
         text=True,
         env=env,
-        timeout=WAIT_S * 2,
+        timeout=WAIT_TIMEOUT_S * 2,
     )
 
 
-def until(holds: Callable[[], bool], *, what: str) -> None:
+def wait_until(condition: Callable[[], bool], *, description: str) -> None:
     """Wait until something holds; fail the test if it does not in time."""
-    end = time.monotonic() + WAIT_S
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
-        if holds():
+        if condition():
             return
-        time.sleep(STEP_S)
-    raise AssertionError(f"did not come about: {what}")
+        time.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f"condition not met in time: {description}")
--- a/tests/prove.py
+++ b/tests/prove.py
@@ -1,8 +1,8 @@
-"""Shows that each proof fails without its mechanism: `python -m tests.prove`.
+"""Mutation tests for the proofs in docs/PROOFS.md: `python -m tests.prove`.
 
-Each row takes one mechanism out of a copy of the code and runs the tests that
-are to notice. A row is good when they fail there; that they pass with the
-mechanism is what `make test` shows. The table stands in docs/PROOFS.md.
+Each row removes one mechanism from a copy of the source and runs the tests that must
+then fail. A row passes if they fail; that they pass with the mechanism in place is
+checked by `make test`. The resulting table is kept in docs/PROOFS.md.
 """
 
 import shutil
@@ -14,455 +14,461 @@
 from typing import Final
 
 from tests import prove_workflow
-from tests.prove_row import Row
+from tests.prove_row import Mutant
 
 ROOT: Final = Path(__file__).parent.parent
-AT_ONCE: Final = 4
-LIMIT_S: Final = 300
+MAX_PARALLEL_RUNS: Final = 4
+TEST_TIMEOUT_S: Final = 300
 
 
-ROWS: Final = (
-    Row(
-        promise="1 capacity",
-        what="the check before a reservation",
-        file="book.py",
+MUTANTS: Final = (
+    Mutant(
+        guarantee="1 capacity",
+        mechanism="admission check before a reservation",
+        file="inventory.py",
         text="if task in worker.tasks or not needs.fits_in(worker.free):",
-        instead="if task in worker.tasks:",
+        replacement="if task in worker.tasks:",
         test="tests/test_placement.py",
     ),
-    Row(
-        promise="1 capacity",
-        what="counting what a new owner finds running",
+    Mutant(
+        guarantee="1 capacity",
+        mechanism="a new owner's accounting of the tasks that it finds running",
         file="shard.py",
-        text="self.book.adopt(record.worker, task, job.spec.needs)",
-        instead="pass",
+        text="self.inventory.adopt(record.worker, task, job.spec.needs)",
+        replacement="pass",
         test="tests/test_placement.py",
     ),
-    Row(
-        promise="1 capacity",
-        what="taking the larger of declared and reported",
-        file="book.py",
-        text="self._set(worker, task, declared.larger(used))",
-        instead="self._set(worker, task, used)",
+    Mutant(
+        guarantee="1 capacity",
+        mechanism="reserving the larger of declared and reported resources",
+        file="inventory.py",
+        text="self._set_allocation(worker, task, declared.elementwise_max(used))",
+        replacement="self._set_allocation(worker, task, used)",
         test="tests/test_placement.py",
     ),
-    Row(
-        promise="2 one place",
-        what="counting the ownership lease from before the send",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="counting the ownership lease from before the write is sent",
         file="lease.py",
         text="self._valid_until = self._pending_since + owner.lease_s",
-        instead="self._valid_until = self.clock.now() + owner.lease_s",
+        replacement="self._valid_until = self.clock.now() + owner.lease_s",
         test="tests/test_lease.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the candidate's wait",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the candidate's wait until the holder's lease has expired",
         file="lease.py",
-        text="return self.clock.now() - self._seen_at > owner.lease_s + margin",
-        instead="return self.clock.now() - self._seen_at > owner.lease_s / 2",
+        text="return self.clock.now() - self._observed_at > owner.lease_s + margin",
+        replacement="return self.clock.now() - self._observed_at > owner.lease_s / 2",
         test="tests/test_lease.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the margin for clocks that drift",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the margin for clock drift",
         file="lease.py",
-        text="DRIFT: Final = 0.01",
-        instead="DRIFT: Final = 0.0",
+        text="MAX_CLOCK_DRIFT: Final = 0.01",
+        replacement="MAX_CLOCK_DRIFT: Final = 0.0",
         test="tests/test_lease.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the condition on the row's version",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the version check on the lease row",
         file="lease.py",
         text="checks=(Check(key=self.key, version=version), *changes.checks),",
-        instead="checks=changes.checks,",
+        replacement="checks=changes.checks,",
         test="tests/test_lease.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the look at the clock before orders",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the clock check before orders are sent",
         file="lease.py",
         text="return self.clock.now() < self.valid_until()",
-        instead="return self._held is not None",
+        replacement="return self._held is not None",
         test="tests/test_lease.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the end of a worker's lease by itself",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="a worker's own expiry of its task leases",
         file="standins/worker.py",
-        text="if now >= running.lease_until:",
-        instead="if False:",
+        text="if now >= running.lease_ends_at:",
+        replacement="if False:",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="waiting out a silent worker's leases",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="waiting until a silent worker's leases have expired",
         file="link.py",
         text="if now > self.keep_until:",
-        instead="if True:",
+        replacement="if True:",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the successor's wait for what a silent owner may still renew",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the successor's wait for leases that a silent owner may still renew",
         file="link.py",
         text="    if not silent:\n",
-        instead="    if True:\n",
+        replacement="    if True:\n",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the bound on what a lapsed owner renews",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the limit on renewals by an owner whose lease has lapsed",
         file="link.py",
         text="if lapsed_s < self.times.release_after_s:",
-        instead="if True:",
+        replacement="if True:",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="starts only under the ownership lease",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="sending starts only while the ownership lease is valid",
         file="link.py",
         text="starts = start_orders(self.shard, name) if owns else ()",
-        instead="starts = start_orders(self.shard, name)",
+        replacement="starts = start_orders(self.shard, name)",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the order's bound on the worker's clock",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="the order's deadline by the worker's clock",
         file="standins/worker.py",
         text="late = self.clock.now() > order.not_after",
-        instead="late = False",
+        replacement="late = False",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="the fence by epoch",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="fencing by epoch",
         file="standins/worker.py",
         text="if order.epoch < self.epoch:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="silence towards a silent worker (its leases would never end)",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="no messages to a silent worker (they would renew its leases)",
         file="link.py",
-        text='            self._incarnation = ""\n\n    def _refused',
-        instead="            pass\n\n    def _refused",
+        text='            self._incarnation = ""\n\n    def _handle_error',
+        replacement="            pass\n\n    def _handle_error",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="2 one place",
-        what="settling a lost reply of the owner's write",
+    Mutant(
+        guarantee="2 one place",
+        mechanism="detecting that the owner's write was stored after a lost reply",
         file="lease.py",
         text="if owner is not None and owner == self._pending:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_lease.py",
     ),
-    Row(
-        promise="3 whole answers",
-        what="closing a connection in doubt (the whole body is read)",
+    Mutant(
+        guarantee="3 whole answers",
+        mechanism="reading the whole response body before a connection is reused",
         file="forward.py",
-        text="body = await _read_whole(res)",
-        instead="body = b''",
+        text="body = await _read_body(res)",
+        replacement="body = b''",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="3 whole answers",
-        what="giving the slot back when the caller has gone",
+    Mutant(
+        guarantee="3 whole answers",
+        mechanism="releasing the concurrency slot when the caller has disconnected",
         file="gateway.py",
-        text="            gate.leave(state)\n        return outcome, url",
-        instead="            pass\n        return outcome, url",
+        text="            controller.release_slot(state)\n        return outcome, url",
+        replacement="            pass\n        return outcome, url",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="4 not run",
-        what="telling a lost answer from a refused connection",
+    Mutant(
+        guarantee="4 not run",
+        mechanism="distinguishing a lost response from a refused connection",
         file="forward.py",
         text='return Unknown(reason=f"no whole answer: {type(exc).__name__}")',
-        instead='return NotRun(reason="broken")',
+        replacement='return NotRun(reason="broken")',
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="4 not run",
-        what="telling a timeout from work that did not start",
+    Mutant(
+        guarantee="4 not run",
+        mechanism="distinguishing a timeout from work that did not start",
         file="forward.py",
         text='return Unknown(reason="no whole answer within the time allowed")',
-        instead='return NotRun(reason="late")',
+        replacement='return NotRun(reason="late")',
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="5 at most once",
-        what="no retry of an unknown outcome",
+    Mutant(
+        guarantee="5 at most once",
+        mechanism="no retry of a request with an unknown outcome",
         file="gateway.py",
         text="if isinstance(last, Unknown) and not req.repeatable:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="5 at most once",
-        what="the condition on the claim's row",
+    Mutant(
+        guarantee="5 at most once",
+        mechanism="the version check on the claim's row",
         file="claims.py",
         text="check=Check(key=key, version=version),",
-        instead="check=Check(key=key + 'x', version=ABSENT),",
+        replacement="check=Check(key=key + 'x', version=ABSENT),",
         test="tests/test_writes.py",
     ),
-    Row(
-        promise="5 at most once",
-        what="the claim before the send",
+    Mutant(
+        guarantee="5 at most once",
+        mechanism="claiming a request before it is sent",
         file="gateway.py",
         text="        if key is None:\n",
-        instead="        if True:\n",
+        replacement="        if True:\n",
         test="tests/test_failures.py::test_gateway_dies_with_a_claimed_request",
     ),
-    Row(
-        promise="5 at most once",
-        what="the fingerprint of the request",
+    Mutant(
+        guarantee="5 at most once",
+        mechanism="the request fingerprint",
         file="claims.py",
         text="if held.fingerprint != row.fingerprint:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_writes.py",
     ),
-    Row(
-        promise="5 at most once",
-        what="settling a claim whose reply was lost",
+    Mutant(
+        guarantee="5 at most once",
+        mechanism="detecting that a claim was stored after a lost reply",
         file="writer.py",
         text="if row is not None and row.value == change.put.value:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_writes.py",
     ),
-    Row(
-        promise="5 at most once",
-        what="the bound on the wait for a claim",
+    Mutant(
+        guarantee="5 at most once",
+        mechanism="the time limit on waiting for a claim",
         file="gateway.py",
-        text="async with asyncio.timeout(min(wait_s, CLAIM_S)):",
-        instead="async with asyncio.timeout(None):",
+        text="async with asyncio.timeout(min(wait_s, CLAIM_TIMEOUT_S)):",
+        replacement="async with asyncio.timeout(None):",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="overload",
-        what="the rest after the table gave no answer",
+    Mutant(
+        guarantee="overload",
+        mechanism="back-off after the table did not answer",
         file="writer.py",
-        text="if self.clock.now() - self._failed_at < REST_S:",
-        instead="if False:",
+        text="if self.clock.now() - self._failed_at < FAILURE_BACKOFF_S:",
+        replacement="if False:",
         test="tests/test_writes.py",
     ),
-    Row(
-        promise="7 shutdown",
-        what="finishing the round under way before the handover",
+    Mutant(
+        guarantee="7 shutdown",
+        mechanism="finishing the current round before the handover",
         file="scheduler.py",
-        text="await asyncio.wait([self._owner_task], timeout=DRAIN_WAIT_S)",
-        instead="pass",
+        text="await asyncio.wait([self._owner_task], timeout=ROUND_DRAIN_TIMEOUT_S)",
+        replacement="pass",
         test="tests/test_scheduler.py",
     ),
-    Row(
-        promise="8 configuration",
-        what="passing a change that can't be read",
+    Mutant(
+        guarantee="8 configuration",
+        mechanism="skipping a change that cannot be decoded",
         file="scheduler.py",
         text="        except errors.FindingsError as exc:\n            if row.key",
-        instead="        except ZeroDivisionError as exc:\n            if row.key",
+        replacement="        except ZeroDivisionError as exc:\n            if row.key",
         test="tests/test_scheduler.py",
     ),
-    Row(
-        promise="6 leaving",
-        what="the endpoint's own word",
+    Mutant(
+        guarantee="6 leaving",
+        mechanism="an endpoint's own leaving notice",
         file="gateway.py",
-        text="            self.book.learn_leaving((state.endpoint.url,))",
-        instead="            pass",
+        text="            self.catalog.mark_leaving((state.endpoint.url,))",
+        replacement="            pass",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="6 leaving",
-        what="the peers' word",
+    Mutant(
+        guarantee="6 leaving",
+        mechanism="leaving notices from peers",
         file="gateway.py",
-        text="        self.book.learn_leaving(reply.digest.leaving)",
-        instead="        pass",
+        text="        self.catalog.mark_leaving(reply.digest.leaving)",
+        replacement="        pass",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="6 leaving",
-        what="that a sign is never taken back",
+    Mutant(
+        guarantee="6 leaving",
+        mechanism="keeping a leaving mark once it is set",
         file="endpoints.py",
         text="known.leaving = known.leaving or endpoint.leaving",
-        instead="known.leaving = endpoint.leaving",
+        replacement="known.leaving = endpoint.leaving",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="6 leaving",
-        what="the worker's word to its owner",
+    Mutant(
+        guarantee="6 leaving",
+        mechanism="a worker's leaving notice to its owner",
         file="link.py",
         text="        if reply.state is HostState.LEAVING:",
-        instead="        if False:",
+        replacement="        if False:",
         test="tests/test_failures.py::test_leaving_worker",
     ),
-    Row(
-        promise="7 shutdown",
-        what="finishing requests in flight",
+    Mutant(
+        guarantee="7 shutdown",
+        mechanism="finishing requests in flight at shutdown",
         file="http_server.py",
-        text="await asyncio.wait([self._task], timeout=DRAIN_S + 1)",
-        instead="await self.kill()",
+        text="await asyncio.wait([self._task], timeout=SHUTDOWN_TIMEOUT_S + 1)",
+        replacement="await self.kill()",
         test="tests/test_failures.py::test_graceful_shutdown",
     ),
-    Row(
-        promise="8 configuration",
-        what="holding the highest version",
+    Mutant(
+        guarantee="8 configuration",
+        mechanism="keeping the highest configuration version",
         file="watcher.py",
         text="if document is None or document.version <= self.version:",
-        instead="if document is None:",
+        replacement="if document is None:",
         test="tests/test_writes.py",
     ),
-    Row(
-        promise="8 configuration",
-        what="the version that a change was made from",
+    Mutant(
+        guarantee="8 configuration",
+        mechanism="the check of the version that a change is based on",
         file="watcher.py",
         text="if theirs != made_from:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_writes.py",
     ),
-    Row(
-        promise="8 configuration",
-        what="the peers as a source in an outage",
+    Mutant(
+        guarantee="8 configuration",
+        mechanism="peers as a configuration source in an outage",
         file="gateway.py",
         text="if self.watcher.offer(reply.config):",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_failures.py::test_platform_outage",
     ),
-    Row(
-        promise="1 capacity",
-        what="room for all of a gang or none",
+    Mutant(
+        guarantee="1 capacity",
+        mechanism="all-or-nothing placement of a gang",
         file="placement.py",
-        text="if len(made) == len(ask.tasks):\n            return made",
-        instead="if made:\n            return made",
+        text="if len(assignments) == len(request.tasks):",
+        replacement="if assignments:",
         test="tests/test_placement.py",
     ),
-    Row(
-        promise="1 capacity",
-        what="the quota",
+    Mutant(
+        guarantee="1 capacity",
+        mechanism="the quota",
         file="rounds.py",
-        text="if dominant_share(used, self.whole) > team.quota:",
-        instead="if False:",
+        text="if dominant_share(used, self.total_capacity) > team.quota:",
+        replacement="if False:",
         test="tests/test_placement.py",
     ),
-    Row(
-        promise="decisions",
-        what="the reservation for a gang that has waited",
+    Mutant(
+        guarantee="decisions",
+        mechanism="the reservation for a gang that has waited",
         file="rounds.py",
-        text="self.book.workers[name].held_until = chosen[-1][0]",
-        instead="pass",
+        text="self.inventory.workers[name].reserved_until = chosen[-1][0]",
+        replacement="pass",
         test="tests/test_decisions.py",
     ),
-    Row(
-        promise="decisions",
-        what="preemption for urgent work",
+    Mutant(
+        guarantee="decisions",
+        mechanism="preemption for urgent work",
         file="rounds.py",
-        text="            return self._preempt(ask, left, now)",
-        instead="            return ()",
+        text="            return self._preempt(request, missing, now)",
+        replacement="            return ()",
         test="tests/test_decisions.py",
     ),
-    Row(
-        promise="decisions",
-        what="relief of a worker that reports show to be over",
+    Mutant(
+        guarantee="decisions",
+        mechanism="relieving a worker whose reported use exceeds its capacity",
         file="rounds.py",
-        text="preemptions = list(self._relieve(now))",
-        instead="preemptions: list[Preemption] = []",
+        text="preemptions = list(self._relieve_overcommitted(now))",
+        replacement="preemptions: list[Preemption] = []",
         test="tests/test_decisions.py",
     ),
-    Row(
-        promise="decisions",
-        what="quarantine of a worker that fails everything",
-        file="book.py",
+    Mutant(
+        guarantee="decisions",
+        mechanism="quarantine of a worker on which every task fails",
+        file="inventory.py",
         text="            worker.state = WorkerState.QUARANTINED",
-        instead="            pass",
+        replacement="            pass",
         test="tests/test_decisions.py",
     ),
-    Row(
-        promise="decisions",
-        what="the probe of a quarantined worker",
-        file="book.py",
+    Mutant(
+        guarantee="decisions",
+        mechanism="probing a quarantined worker",
+        file="inventory.py",
         text="        elif now >= worker.probe_at:",
-        instead="        elif False:",
+        replacement="        elif False:",
         test="tests/test_decisions.py",
     ),
-    Row(
-        promise="decisions",
-        what="learning run times and sizes",
+    Mutant(
+        guarantee="decisions",
+        mechanism="learning run times and sizes",
         file="history.py",
         text='_NUMBERS: Final = re.compile(r"(-\\d+)+$")',
-        instead='_NUMBERS: Final = re.compile(r"(never)$")',
+        replacement='_NUMBERS: Final = re.compile(r"(never)$")',
         test="tests/test_decisions.py",
     ),
-    Row(
-        promise="overload",
-        what="the retry budget",
+    Mutant(
+        guarantee="overload",
+        mechanism="the retry budget",
         file="retry.py",
         text="if self.saved < 1.0:",
-        instead="if False:",
+        replacement="if False:",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="faults",
-        what="counting what is lost with a worker just after it has begun",
+    Mutant(
+        guarantee="faults",
+        mechanism="counting an attempt lost with its worker soon after its start",
         file="shard.py",
-        text="0 if settled else record.crashes + 1",
-        instead="0",
+        text="0 if stable else record.crashes + 1",
+        replacement="0",
         test="tests/test_link.py",
     ),
-    Row(
-        promise="overload",
-        what="the floor under ejection",
+    Mutant(
+        guarantee="overload",
+        mechanism="the limit on the share of ejected endpoints",
         file="endpoints.py",
         text="return ejected + 1 <= cfg.eject_most * len(everyone)",
-        instead="return True",
+        replacement="return True",
         test="tests/test_gateway.py",
     ),
-    Row(
-        promise="overload",
-        what="refusing at once what would come too late",
+    Mutant(
+        guarantee="overload",
+        mechanism="rejecting at once a request that would be served too late",
         file="admission.py",
-        text="if expected > wait_s or not self._make_room(rank):",
-        instead="if not self._make_room(rank):",
+        text="if expected > wait_s or not self._ensure_queue_space(rank):",
+        replacement="if not self._ensure_queue_space(rank):",
         test="tests/test_gateway.py",
     ),
 )
 
 
-def notices(row: Row) -> bool:
-    """Tell whether the tests fail without the mechanism.
+def is_detected(mutant: Mutant) -> bool:
+    """Return whether the tests fail without the mechanism.
 
     Raises:
-        ValueError: The text to replace is not in the module just once.
+        ValueError: The text to replace does not occur exactly once in the module.
     """
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         for name in ("cranberrycleat", "tests"):
-            shutil.copytree(ROOT / name, Path(folder) / name, symlinks=True)
-        shutil.copy(ROOT / "pyproject.toml", folder)
-        module = Path(folder) / "cranberrycleat" / row.file
+            shutil.copytree(ROOT / name, Path(directory) / name, symlinks=True)
+        shutil.copy(ROOT / "pyproject.toml", directory)
+        module = Path(directory) / "cranberrycleat" / mutant.file
         code = module.read_text()
-        if code.count(row.text) != 1:
-            raise ValueError(f"{row.file}: {code.count(row.text)} times {row.text!r}")
-        module.write_text(code.replace(row.text, row.instead))
-        done = subprocess.run(
-            [sys.executable, "-m", "pytest", "-x", row.test],
-            cwd=folder,
+        if code.count(mutant.text) != 1:
+            raise ValueError(
+                f"{mutant.file}: found {code.count(mutant.text)} occurrences of "
+                f"{mutant.text!r} instead of one"
+            )
+        module.write_text(code.replace(mutant.text, mutant.replacement))
+        completed = subprocess.run(
+            [sys.executable, "-m", "pytest", "-x", mutant.test],
+            cwd=directory,
             capture_output=True,
-            timeout=LIMIT_S,
+            timeout=TEST_TIMEOUT_S,
         )
-    return done.returncode == 1
+    return completed.returncode == 1
 
 
 def main() -> int:
-    """Run every row and print the table; return how many are not good.
+    """Run all rows and print the table; return the number of rows that do not pass.
 
-    With `workflow` as its argument, only the rows of stepped jobs are run.
+    With the argument `workflow`, only the rows of `prove_workflow` are run.
     """
-    chosen: tuple[Row, ...] = prove_workflow.ROWS
+    selected: tuple[Mutant, ...] = prove_workflow.MUTANTS
     if sys.argv[1:] != ["workflow"]:
-        chosen = (*ROWS, *chosen)
-    with ThreadPoolExecutor(max_workers=AT_ONCE) as pool:
-        found = list(pool.map(notices, chosen))
-    for row, good in zip(chosen, found, strict=True):
-        verdict = "fails without" if good else "NOT NOTICED"
-        print(f"| {row.promise} | {row.what} | {row.test} | {verdict} |", flush=True)
-    return found.count(False)
+        selected = (*MUTANTS, *selected)
+    with ThreadPoolExecutor(max_workers=MAX_PARALLEL_RUNS) as pool:
+        detected = list(pool.map(is_detected, selected))
+    for mutant, passed in zip(selected, detected, strict=True):
+        verdict = "fails without" if passed else "NOT NOTICED"
+        print(
+            f"| {mutant.guarantee} | {mutant.mechanism} | {mutant.test} | {verdict} |",
+            flush=True,
+        )
+    return detected.count(False)
 
 
 if __name__ == "__main__":
--- a/tests/prove_row.py
+++ b/tests/prove_row.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Row:
+class Mutant:
     """One mechanism, how it is taken out, and the tests that notice.
 
     Attributes:
@@ -16,9 +16,9 @@
         test: The tests to run, as pytest names them.
     """
 
-    promise: str
-    what: str
+    guarantee: str
+    mechanism: str
     file: str
     text: str
-    instead: str
+    replacement: str
     test: str
--- a/tests/quota_judge.py
+++ b/tests/quota_checker.py
@@ -12,12 +12,12 @@
 from cranberrycleat.amounts import NOTHING, Amounts
 from cranberrycleat.clock import Clock
 
-MAY_BE_IN_FORCE_S: Final = 3.0
-OVERSHOOT: Final = 1.1
+QUOTA_GRACE_S: Final = 3.0
+MAX_OVERSHOOT_RATIO: Final = 1.1
 
 
 @attrs.define(kw_only=True, eq=False)
-class QuotaJudge:
+class QuotaChecker:
     """The quotas of some workspaces, as the operator sets them.
 
     Attributes:
@@ -55,13 +55,13 @@
             used = used.plus(each)
         largest = max((each.processors for each in running), default=0)
         most = self._highest(workspace)
-        if most and used.processors > most * OVERSHOOT + largest:
+        if most and used.processors > most * MAX_OVERSHOOT_RATIO + largest:
             return f"{workspace} runs {used.processors} of {most}"
         return ""
 
     def _highest(self, workspace: str) -> int:
         """Return the highest quota that may be in force; 0 is no limit."""
-        since = self.clock.now() - MAY_BE_IN_FORCE_S
+        since = self.clock.now() - QUOTA_GRACE_S
         found = [self._last, *(each for until, each in self.before if until > since)]
         limits = [each.get(workspace, NOTHING).processors for each in found]
         return 0 if 0 in limits else max(limits)
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -33,14 +33,14 @@
         """The base URL to connect to instead of the target's."""
         return f"http://127.0.0.1:{self._listener.getsockname()[1]}"
 
-    def sever(self) -> None:
+    def cut_connections(self) -> None:
         """Break every connection and refuse new ones."""
         self.cut = True
         for conn in self._open:
             conn.close()
         self._open.clear()
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Pass connections on again."""
         self.cut = False
 
@@ -51,13 +51,13 @@
                 conn.close()
                 continue
             try:
-                onward = socket.create_connection(self.target)
+                upstream = socket.create_connection(self.target)
             except OSError:
                 # The target is gone; a caller sees that its connection ends.
                 conn.close()
                 continue
-            self._open += [conn, onward]
-            for pair in ((conn, onward), (onward, conn)):
+            self._open += [conn, upstream]
+            for pair in ((conn, upstream), (upstream, conn)):
                 threading.Thread(target=_pump, args=pair, daemon=True).start()
 
 
--- a/tests/slow_table.py
+++ b/tests/slow_table.py
@@ -20,7 +20,7 @@
 WAIT_S: Final = 0.1
 """For how long the table holds a question for changes open."""
 STEP_S: Final = 0.02
-LONGEST_S: Final = 12.0
+READ_DEADLINE_S: Final = 12.0
 """Longer than any number of readings that a test allows."""
 
 
@@ -39,7 +39,7 @@
     return json.dumps({"version": version, "routes": routes, "services": services})
 
 
-WHOLE_BYTES: Final = len(base64.b64encode(document(1).encode()))
+VERSION_BYTES: Final = len(base64.b64encode(document(1).encode()))
 """What a version of `QUEUES` queues is on the link."""
 
 
@@ -65,11 +65,11 @@
     break_off_at: int = 0
     silent_at: int = 0
     refusals: int = 0
-    kept_from: int = 0
+    expired_upto: int = 0
 
     def forget(self) -> None:
         """Drop all history, as the platform may at any time."""
-        self.kept_from = self.history[-1]["schema_ver"]
+        self.expired_upto = self.history[-1]["schema_ver"]
 
     def write(self, version: int, queues: int = QUEUES) -> None:
         """Write a version, as the operator does."""
@@ -91,7 +91,7 @@
             self.refusals -= 1
             await send_answer(send, Answer(message={}, status=503))
             return
-        if scope["path"] == "/api/rows-feed" and int(args["after"]) < self.kept_from:
+        if scope["path"] == "/api/rows-feed" and int(args["after"]) < self.expired_upto:
             await send_answer(send, Answer(message={}, status=410))
             return
         if scope["path"] == "/api/rows-feed":
@@ -103,11 +103,11 @@
             rows = history[-1:]
         version = history[-1]["schema_ver"]
         data = json.dumps({"rows": rows, "schema_ver": version}).encode()
-        left = asyncio.ensure_future(receive())
+        disconnected = asyncio.ensure_future(receive())
         try:
-            await self._send(send, data, left)
+            await self._send(send, data, disconnected)
         finally:
-            left.cancel()
+            disconnected.cancel()
 
     async def _changed(self, after: int, wait_ms: int) -> tuple[dict[str, Any], ...]:
         """Return the history once it has something new, or after the wait.
@@ -121,23 +121,27 @@
             await asyncio.sleep(STEP_S)
         return self.history
 
-    async def _send(self, send: Any, data: bytes, left: "asyncio.Future[Any]") -> None:
+    async def _send(
+        self, send: Any, data: bytes, disconnected: "asyncio.Future[Any]"
+    ) -> None:
         headers = [(b"content-length", str(len(data)).encode())]
         start = {"type": "http.response.start", "status": 200, "headers": headers}
         await send(start)
-        pace = max(1, round(WHOLE_BYTES / self.transfer_s * STEP_S))
+        bytes_per_step = max(1, round(VERSION_BYTES / self.transfer_s * STEP_S))
         break_off_at, self.break_off_at = self.break_off_at, 0
         silent_at, self.silent_at = self.silent_at, 0
-        for begin in range(0, len(data), pace):
-            if left.done() or 0 < break_off_at <= begin:
+        for offset in range(0, len(data), bytes_per_step):
+            if disconnected.done() or 0 < break_off_at <= offset:
                 return
-            if 0 < silent_at <= begin:
-                await left
+            if 0 < silent_at <= offset:
+                await disconnected
                 return
-            part = data[begin : begin + pace]
-            self.sent += len(part)
-            more = begin + pace < len(data)
-            await send({"type": "http.response.body", "body": part, "more_body": more})
+            chunk = data[offset : offset + bytes_per_step]
+            self.sent += len(chunk)
+            is_partial = offset + bytes_per_step < len(data)
+            await send(
+                {"type": "http.response.body", "body": chunk, "more_body": is_partial}
+            )
             await asyncio.sleep(STEP_S)
 
 
@@ -161,19 +165,19 @@
         yield table, PlatformStore(address=f"127.0.0.1:{server.port}", http=http)
     finally:
         await http.close()
-        await on_loop(loop, _end(server))
+        await on_loop(loop, _shut_down(server))
         loop.call_soon_threadsafe(loop.stop)
         thread.join()
         loop.close()
 
 
-async def _end(server: HttpServer) -> None:
+async def _shut_down(server: HttpServer) -> None:
     """Stop a server at once, and what it was still answering."""
     await server.kill()
-    left = asyncio.all_tasks() - {asyncio.current_task()}
-    for task in left:
+    tasks = asyncio.all_tasks() - {asyncio.current_task()}
+    for task in tasks:
         task.cancel()
-    await asyncio.gather(*left, return_exceptions=True)
+    await asyncio.gather(*tasks, return_exceptions=True)
 
 
 async def on_loop(
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -34,29 +34,29 @@
 
 from cranberrycleat import errors, logs
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.standins.fleet import Work, Worker, WorkerRecord
+from cranberrycleat.standins.fleet import SimulatedWork, SimulatedWorker, WorkerEvent
 from cranberrycleat.workflow.access import Granted
-from cranberrycleat.workflow.door import Door, DoorStatus
+from cranberrycleat.workflow.crash_attribution import CRASH_WINDOW_S
+from cranberrycleat.workflow.job_frontend import JobFrontend, RequestStatus
 from cranberrycleat.workflow.owner import Owner
 from cranberrycleat.workflow.ports import EndKind
 from cranberrycleat.workflow.spec import StepSpec, WorkflowSpec
-from cranberrycleat.workflow.state import FINAL, JobState
-from cranberrycleat.workflow.suspicion import SETTLED_S
+from cranberrycleat.workflow.state import FINAL_STATES, JobState
 from tests.cell import Cell, cell, entry, job, queue, step
-from tests.quota_judge import QuotaJudge
+from tests.quota_checker import QuotaChecker
 from tests.soak_record import Record
 
 HOSTS: Final = 3
 WORKERS: Final = 5
-FINISH_S: Final = 40.0
+COMPLETION_LIMIT_S: Final = 40.0
 """How long all work may take once every fault is over: several leases."""
 QUEUE: Final = queue(max_attempts=8)
-MOST_STARTS: Final = 5
+MAX_STARTS: Final = 5
 """The platform forbids a sixth start of a task that crashes its workers."""
-CRASHES_AFTER_S: Final = (0.0, 0.01, 0.2)
-NOTICED_S: Final = 0.3
+CRASH_DELAYS_S: Final = (0.0, 0.01, 0.2)
+DETECTION_DELAY_S: Final = 0.3
 """After how long the owner has heard of a worker at the latest; it lists more often."""
-TOGETHER_S: Final = 0.05
+SIMULTANEOUS_S: Final = 0.05
 RACKS: Final = ("r1", "r2")
 WORKSPACES: Final = ("one", "two", "three")
 QUOTAS: Final = (500, 3000, 6000, 12_000)
@@ -64,23 +64,23 @@
 
 
 @attrs.define(kw_only=True)
-class Handed:
+class SubmittedJob:
     """A job that was handed in, and what its caller was told each time."""
 
     spec: WorkflowSpec
     workspace: str = ""
-    told: list[DoorStatus] = attrs.field(factory=list)
+    statuses: list[RequestStatus] = attrs.field(factory=list)
     cancelled: bool = False
 
     @property
     def accepted(self) -> bool:
         """Whether any try was accepted."""
-        return DoorStatus.DONE in self.told
+        return RequestStatus.DONE in self.statuses
 
     @property
     def refused(self) -> bool:
         """Whether every try was refused, so that it must never run."""
-        return bool(self.told) and set(self.told) == {DoorStatus.REFUSED}
+        return bool(self.statuses) and set(self.statuses) == {RequestStatus.REFUSED}
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -104,54 +104,54 @@
         sound_failed: Sound jobs that were given up, findings or not.
     """
 
-    rnd: random.Random
-    made: Cell
+    rng: random.Random
+    harness: Cell
     record: Record
     owners: dict[str, Owner] = attrs.field(factory=dict)
     hosts: "dict[str, asyncio.Task[None]]" = attrs.field(factory=dict)
-    handed: dict[str, Handed] = attrs.field(factory=dict)
-    told: list[str] = attrs.field(factory=list)
+    submitted: dict[str, SubmittedJob] = attrs.field(factory=dict)
+    problems: list[str] = attrs.field(factory=list)
     crashing: float = 0.0
-    also: random.Random = attrs.field(factory=random.Random)
-    at_fault: set[str] = attrs.field(factory=set)
+    fault_rng: random.Random = attrs.field(factory=random.Random)
+    crashing_tasks: set[str] = attrs.field(factory=set)
     restarts: bool = False
-    quotas: QuotaJudge | None = None
-    sound_failed: int = 0
-    _lives: int = 0
+    quotas: QuotaChecker | None = None
+    healthy_failed: int = 0
+    _incarnations: int = 0
     _failed: set[str] = attrs.field(factory=set)
 
     async def run(self, seconds: float) -> list[str]:
         """Play jobs and faults for a time; return what went wrong."""
-        self._judge()
+        self._configure_fleet()
         for number in range(HOSTS):
-            self._boot(f"h{number}")
-        busy = [asyncio.create_task(self._hand_in()) for _ in range(2)]
-        busy += [asyncio.create_task(self._break_things()) for _ in range(2)]
+            self._start_host(f"h{number}")
+        activities = [asyncio.create_task(self._submit_jobs()) for _ in range(2)]
+        activities += [asyncio.create_task(self._inject_faults()) for _ in range(2)]
         await asyncio.sleep(seconds)
-        for task in busy:
+        for task in activities:
             task.cancel()
-        found = await asyncio.gather(*busy, return_exceptions=True)
+        found = await asyncio.gather(*activities, return_exceptions=True)
         for exc in found:
             if isinstance(exc, Exception):
-                self.told.append(repr(exc))
-                self.record.raised(exc)
-        self._heal()
-        await self._finish()
+                self.problems.append(repr(exc))
+                self.record.add_exception(exc)
+        self._end_faults()
+        await self._wait_until_finished()
         # While there is an owner: its lease ends soon after it is told to.
-        found_wrong = self._verdict()
+        findings = self._findings()
         for task in self.hosts.values():
             task.cancel()
         await asyncio.gather(*self.hosts.values(), return_exceptions=True)
-        return found_wrong
+        return findings
 
     # --- jobs -------------------------------------------------------------------
 
     def _spec_of(self, task: str) -> StepSpec | None:
         parts = task.split(".")
-        handed = self.handed.get(parts[0])
-        return None if handed is None else handed.spec.steps[int(parts[2])]
+        submitted = self.submitted.get(parts[0])
+        return None if submitted is None else submitted.spec.steps[int(parts[2])]
 
-    def _judge(self) -> None:
+    def _configure_fleet(self) -> None:
         def needs(task: str) -> Amounts:
             spec = self._spec_of(task)
             return NOTHING if spec is None else spec.needs
@@ -160,122 +160,123 @@
             spec = self._spec_of(name)
             return spec is not None and spec.gang
 
-        def work(task: str, attempt: int) -> Work:
-            if task in self.at_fault:
-                crashes_after_s = self.also.choice(CRASHES_AFTER_S)
-                return Work(seconds=60.0, crashes_after_s=crashes_after_s)
-            if self._is_with_one_at_fault(task):
-                return Work(seconds=60.0)
-            seconds = self.rnd.choice((0.02, 0.1, 0.4))
-            if self.rnd.random() < 0.05 and task not in self._failed:
+        def work(task: str, attempt: int) -> SimulatedWork:
+            if task in self.crashing_tasks:
+                crashes_after_s = self.fault_rng.choice(CRASH_DELAYS_S)
+                return SimulatedWork(seconds=60.0, crashes_after_s=crashes_after_s)
+            if self._shares_gang_with_crashing_task(task):
+                return SimulatedWork(seconds=60.0)
+            seconds = self.rng.choice((0.02, 0.1, 0.4))
+            if self.rng.random() < 0.05 and task not in self._failed:
                 self._failed.add(task)
-                return Work(seconds=seconds, how=EndKind.FAILED)
-            return Work(seconds=seconds)
+                return SimulatedWork(seconds=seconds, how=EndKind.FAILED)
+            return SimulatedWork(seconds=seconds)
 
         def workspace(task: str) -> str:
-            handed = self.handed.get(task.partition(".")[0])
-            return "" if handed is None else handed.workspace
+            submitted = self.submitted.get(task.partition(".")[0])
+            return "" if submitted is None else submitted.workspace
 
-        fleet = self.made.fleet
+        fleet = self.harness.fleet
         fleet.needs, fleet.gang, fleet.work = needs, gang, work
-        fleet.recorded = self._take_record
+        fleet.on_event = self._record_worker_event
         if self.quotas is not None:
             self.quotas.change(self._draw_quotas())
-            self.made.quotas = self.quotas.told
+            self.harness.quotas = self.quotas.told
             fleet.workspace, fleet.over_quota = workspace, self.quotas.fault
 
-    def _take_record(self, record: WorkerRecord) -> None:
-        self.record.take_worker(record)
+    def _record_worker_event(self, record: WorkerEvent) -> None:
+        self.record.add_worker_event(record)
         if record.what == "fault":
-            self._record_charges(record.worker)
+            self._record_placements(record.worker)
 
-    def _record_charges(self, name: str) -> None:
+    def _record_placements(self, name: str) -> None:
         """Note what each owner counts on a worker."""
         for host, owner in self.owners.items():
-            for worker in owner.board.fleet.workers.values():
+            for worker in owner.cluster_state.fleet.workers.values():
                 if worker.entry.worker != name:
                     continue
-                counted = [
+                placed = [
                     f"{each.task}#{each.attempt} ({each.needs.processors})"
                     for each in worker.placements.values()
                 ]
-                self.record.charges(
-                    f"owner.counts {host}, holder {owner.lease.authority()}, on "
-                    f"{worker.name} {worker.standing.value}: {' '.join(counted)}"
+                self.record.add_placements(
+                    f"owner.counts {host}, holder {owner.lease.is_valid()}, on "
+                    f"{worker.name} {worker.liveness.value}: {' '.join(placed)}"
                 )
 
     def _draw_quotas(self) -> dict[str, Amounts]:
         return {
-            each: Amounts(processors=self.also.choice(QUOTAS)) for each in WORKSPACES
+            each: Amounts(processors=self.fault_rng.choice(QUOTAS))
+            for each in WORKSPACES
         }
 
-    def _is_with_one_at_fault(self, task: str) -> bool:
+    def _shares_gang_with_crashing_task(self, task: str) -> bool:
         """Tell whether a member of a gang can't come to an end for another one."""
         step_name = task.rpartition(".")[0]
         spec = self._spec_of(task)
         if spec is None or not spec.gang:
             return False
-        return any(each.rpartition(".")[0] == step_name for each in self.at_fault)
+        return any(each.rpartition(".")[0] == step_name for each in self.crashing_tasks)
 
     def _draw_spec(self) -> WorkflowSpec:
         steps = []
-        for number in range(self.rnd.choice((1, 1, 2, 3))):
+        for number in range(self.rng.choice((1, 1, 2, 3))):
             spec = step(
-                self.rnd.randint(1, 5),
-                processors=self.rnd.choice((500, 1000, 2000)),
-                gang=self.rnd.random() < 0.3,
-                checkpoints=self.rnd.random() < 0.3,
-                most_per_worker=self.rnd.choice((0, 0, 2)),
+                self.rng.randint(1, 5),
+                processors=self.rng.choice((500, 1000, 2000)),
+                gang=self.rng.random() < 0.3,
+                checkpoints=self.rng.random() < 0.3,
+                most_per_worker=self.rng.choice((0, 0, 2)),
                 after=(number - 1,) if number else (),
             )
             steps.append(spec)
         return job(*steps)
 
-    def _door(self) -> Door:
+    def _door(self) -> JobFrontend:
         """Return a door that knows an owner, a former one, or none."""
         known: list[Owner | None] = [
             owner for owner in self.owners.values() if owner.ready.is_set()
         ]
-        held = [owner for owner in known if owner and owner.lease.authority()]
-        pick = self.rnd.choice([*known, None])
-        if held and self.rnd.random() < 0.8:
+        held = [owner for owner in known if owner and owner.lease.is_valid()]
+        pick = self.rng.choice([*known, None])
+        if held and self.rng.random() < 0.8:
             pick = held[0]
-        return self.made.door(lambda: pick)
+        return self.harness.job_frontend(lambda: pick)
 
-    async def _hand_in(self) -> None:
+    async def _submit_jobs(self) -> None:
         while True:
-            await asyncio.sleep(self.rnd.uniform(0.02, 0.15))
-            job_id = f"{self.rnd.getrandbits(64):016x}"
-            handed = self.handed[job_id] = Handed(spec=self._draw_spec())
+            await asyncio.sleep(self.rng.uniform(0.02, 0.15))
+            job_id = f"{self.rng.getrandbits(64):016x}"
+            submitted = self.submitted[job_id] = SubmittedJob(spec=self._draw_spec())
             if self.quotas is not None:
-                handed.workspace = self.also.choice(WORKSPACES)
-            access = Granted(workspace=handed.workspace)
-            if self.also.random() < self.crashing:
-                index = self.also.randrange(handed.spec.steps[0].count)
-                self.at_fault.add(f"{job_id}.0.0.{index}")
-            for _ in range(self.rnd.choice((1, 1, 2))):
+                submitted.workspace = self.fault_rng.choice(WORKSPACES)
+            access = Granted(workspace=submitted.workspace)
+            if self.fault_rng.random() < self.crashing:
+                index = self.fault_rng.randrange(submitted.spec.steps[0].count)
+                self.crashing_tasks.add(f"{job_id}.0.0.{index}")
+            for _ in range(self.rng.choice((1, 1, 2))):
                 # A caller that was not refused may come again, anywhere.
                 answer = await self._door().submit(
-                    QUEUE, job_id, handed.spec, limit_s=1.0, access=access
+                    QUEUE, job_id, submitted.spec, limit_s=1.0, access=access
                 )
-                handed.told.append(answer.status)
-                if answer.status is DoorStatus.REFUSED:
+                submitted.statuses.append(answer.status)
+                if answer.status is RequestStatus.REFUSED:
                     break
-            if self.rnd.random() < 0.1 and handed.accepted:
+            if self.rng.random() < 0.1 and submitted.accepted:
                 gone = await self._door().cancel(
-                    job_id, limit_s=1.0, workspace=handed.workspace
+                    job_id, limit_s=1.0, workspace=submitted.workspace
                 )
-                handed.cancelled = gone.status is not DoorStatus.NO_JOB
+                submitted.cancelled = gone.status is not RequestStatus.NO_JOB
 
     # --- faults -----------------------------------------------------------------
 
-    def _boot(self, host: str) -> None:
-        self._lives += 1
-        self.hosts[host] = asyncio.create_task(self._stand(host, self._lives))
+    def _start_host(self, host: str) -> None:
+        self._incarnations += 1
+        self.hosts[host] = asyncio.create_task(self._stand(host, self._incarnations))
 
-    async def _stand(self, host: str, life: int) -> None:
+    async def _stand(self, host: str, incarnation: int) -> None:
         while True:
-            owner = self.made.make_owner(f"{host}-{life}")
+            owner = self.harness.make_owner(f"{host}-{incarnation}")
             self.owners[host] = owner
             won = False
             while not won:
@@ -283,135 +284,135 @@
                     won = await owner.lease.acquire()
                 await asyncio.sleep(0.05)
             await owner.run()
-            life += 1000
+            incarnation += 1000
 
-    async def _break_things(self) -> None:
+    async def _inject_faults(self) -> None:
         faults: tuple[Callable[[], Awaitable[None]], ...] = (
             self._kill_host,
             self._release_host,
             self._table_down,
             self._table_slow,
             self._lose_replies,
-            self._silence,
-            self._late_orders,
+            self._silence_worker,
+            self._delay_starts,
             self._crash_worker,
-            self._stand_still,
-            self._unlist,
+            self._stall_worker,
+            self._unlist_worker,
         )
         if self.crashing:
-            faults = (*faults, self._fall)
+            faults = (*faults, self._crash_rack)
         if self.restarts:
-            faults = (*faults, self._restart_worker, self._restart_some)
+            faults = (*faults, self._restart_worker, self._restart_several)
         if self.quotas is not None:
             faults = (*faults, self._change_quotas, self._hide_quotas)
         while True:
-            await asyncio.sleep(self.rnd.uniform(0.1, 0.8))
-            fault = self.rnd.choice(faults)
-            self.record.played(fault.__name__.strip("_"))
+            await asyncio.sleep(self.rng.uniform(0.1, 0.8))
+            fault = self.rng.choice(faults)
+            self.record.add_fault(fault.__name__.strip("_"))
             await fault()
-            self.record.played(f"{fault.__name__.strip('_')} is over")
+            self.record.add_fault(f"{fault.__name__.strip('_')} is over")
 
     async def _kill_host(self) -> None:
-        host = self.rnd.choice(sorted(self.hosts))
+        host = self.rng.choice(sorted(self.hosts))
         killed = self.hosts[host]
         killed.cancel()
         await asyncio.gather(killed, return_exceptions=True)
-        await asyncio.sleep(self.rnd.uniform(0.0, 0.5))
+        await asyncio.sleep(self.rng.uniform(0.0, 0.5))
         if self.hosts[host] is killed:
-            self._boot(host)
+            self._start_host(host)
 
     async def _release_host(self) -> None:
         for owner in self.owners.values():
-            if owner.ready.is_set() and owner.lease.authority():
+            if owner.ready.is_set() and owner.lease.is_valid():
                 await owner.hand_over()
                 return
 
     async def _table_down(self) -> None:
-        self.made.table.faults.down = True
-        await asyncio.sleep(self.rnd.choice((0.1, 0.4, 1.5)))
-        self.made.table.faults.down = False
+        self.harness.table.faults.down = True
+        await asyncio.sleep(self.rng.choice((0.1, 0.4, 1.5)))
+        self.harness.table.faults.down = False
 
     async def _table_slow(self) -> None:
-        self.made.table.faults.slow_s = self.rnd.choice((0.05, 0.15))
+        self.harness.table.faults.slow_s = self.rng.choice((0.05, 0.15))
         await asyncio.sleep(0.8)
-        self.made.table.faults.slow_s = 0.0
+        self.harness.table.faults.slow_s = 0.0
 
     async def _lose_replies(self) -> None:
-        self.made.table.faults.lose_replies = self.rnd.randint(1, 4)
+        self.harness.table.faults.lose_replies = self.rng.randint(1, 4)
 
-    async def _silence(self) -> None:
-        worker = self.rnd.choice(list(self.made.fleet.workers.values()))
+    async def _silence_worker(self) -> None:
+        worker = self.rng.choice(list(self.harness.fleet.workers.values()))
         worker.silent = True
-        self.record.played(f"{worker.entry.worker} is silent")
-        await asyncio.sleep(self.rnd.choice((0.2, 1.2, 2.5)))
-        self._newest(worker).silent = False
-
-    async def _late_orders(self) -> None:
-        fleet = self.made.fleet
-        worker = self.rnd.choice(list(fleet.workers.values()))
-        worker.lose_starts = self.rnd.randint(1, 3)
-        self.record.played(f"{worker.entry.worker} leaves starts unanswered")
-        await asyncio.sleep(self.rnd.uniform(0.1, 1.0))
-        worker.lose_starts = 0
-        newest = self._newest(worker)
+        self.record.add_fault(f"{worker.entry.worker} is silent")
+        await asyncio.sleep(self.rng.choice((0.2, 1.2, 2.5)))
+        self._newest_incarnation(worker).silent = False
+
+    async def _delay_starts(self) -> None:
+        fleet = self.harness.fleet
+        worker = self.rng.choice(list(fleet.workers.values()))
+        worker.unanswered_starts = self.rng.randint(1, 3)
+        self.record.add_fault(f"{worker.entry.worker} leaves starts unanswered")
+        await asyncio.sleep(self.rng.uniform(0.1, 1.0))
+        worker.unanswered_starts = 0
+        newest = self._newest_incarnation(worker)
         for order in newest.late:
             at = f"{newest.entry.worker}@{newest.entry.born_ms}"
-            self.record.played(f"{at} has a late {order.task}#{order.attempt}")
+            self.record.add_fault(f"{at} has a late {order.task}#{order.attempt}")
             fleet.carry_out(newest, order)
         newest.late.clear()
 
-    def _newest(self, worker: Worker) -> Worker:
+    def _newest_incarnation(self, worker: SimulatedWorker) -> SimulatedWorker:
         """Return the incarnation that a worker's identity is of by now."""
-        return self.made.fleet.workers.get(worker.entry.worker, worker)
+        return self.harness.fleet.workers.get(worker.entry.worker, worker)
 
     async def _restart_worker(self) -> None:
         """Have a worker start again; the platform may list that late."""
-        name = self.also.choice(sorted(self.made.fleet.workers))
-        after = self.made.fleet.restart(name)
-        await asyncio.sleep(self.also.choice((0.0, 0.05, 0.6)))
-        self._list_incarnation(after)
+        name = self.fault_rng.choice(sorted(self.harness.fleet.workers))
+        after = self.harness.fleet.restart(name)
+        await asyncio.sleep(self.fault_rng.choice((0.0, 0.05, 0.6)))
+        self._publish_entry(after)
 
-    async def _restart_some(self) -> None:
+    async def _restart_several(self) -> None:
         """Have several workers start again at once, some of them twice."""
-        names = sorted(self.made.fleet.workers)
-        for name in self.also.sample(names, k=min(3, len(names))):
-            self._list_incarnation(self.made.fleet.restart(name))
-        await asyncio.sleep(self.also.uniform(0.0, 0.3))
-        name = self.also.choice(sorted(self.made.fleet.workers))
-        self._list_incarnation(self.made.fleet.restart(name))
-
-    def _list_incarnation(self, worker: Worker) -> None:
+        names = sorted(self.harness.fleet.workers)
+        for name in self.fault_rng.sample(names, k=min(3, len(names))):
+            self._publish_entry(self.harness.fleet.restart(name))
+        await asyncio.sleep(self.fault_rng.uniform(0.0, 0.3))
+        name = self.fault_rng.choice(sorted(self.harness.fleet.workers))
+        self._publish_entry(self.harness.fleet.restart(name))
+
+    def _publish_entry(self, worker: SimulatedWorker) -> None:
         name = worker.entry.worker
-        if self.made.fleet.workers.get(name) is worker:
-            self.made.entries[name] = worker.entry
-            self.made.list_worker(name)
+        if self.harness.fleet.workers.get(name) is worker:
+            self.harness.entries[name] = worker.entry
+            self.harness.list_worker(name)
 
     async def _crash_worker(self) -> None:
-        name = self.rnd.choice(sorted(self.made.fleet.workers))
-        self._lives += 1
-        rack = self.made.fleet.workers[name].entry.labels[1]
-        fresh = entry(f"w-{self._lives}", rack=rack, born_ms=int(self.restarts))
+        name = self.rng.choice(sorted(self.harness.fleet.workers))
+        self._incarnations += 1
+        rack = self.harness.fleet.workers[name].entry.labels[1]
+        fresh = entry(f"w-{self._incarnations}", rack=rack, born_ms=int(self.restarts))
         # Another fault may list it as soon as the fleet has it.
-        self.made.entries[fresh.worker] = fresh
-        self.made.fleet.crash(name, fresh)
-        self.made.unlist_worker(name)
-        await asyncio.sleep(self.rnd.uniform(0.0, 0.5))
-        self.made.list_worker(fresh.worker)
-
-    async def _stand_still(self) -> None:
-        worker = self.rnd.choice(list(self.made.fleet.workers.values()))
-        worker.stands_still = True
-        self.record.played(f"{worker.entry.worker} stands still")
-        await asyncio.sleep(self.rnd.choice((0.5, 2.0)))
-        worker.stands_still = False
-
-    async def _unlist(self) -> None:
-        name = self.rnd.choice(sorted(self.made.fleet.workers))
-        self.made.unlist_worker(name)
-        self.record.played(f"{name} is unlisted")
-        await asyncio.sleep(self.rnd.uniform(0.1, 1.0))
-        if name in self.made.fleet.workers:
-            self.made.list_worker(name)
+        self.harness.entries[fresh.worker] = fresh
+        self.harness.fleet.replace_worker(name, fresh)
+        self.harness.unlist_worker(name)
+        await asyncio.sleep(self.rng.uniform(0.0, 0.5))
+        self.harness.list_worker(fresh.worker)
+
+    async def _stall_worker(self) -> None:
+        worker = self.rng.choice(list(self.harness.fleet.workers.values()))
+        worker.stalled = True
+        self.record.add_fault(f"{worker.entry.worker} stands still")
+        await asyncio.sleep(self.rng.choice((0.5, 2.0)))
+        worker.stalled = False
+
+    async def _unlist_worker(self) -> None:
+        name = self.rng.choice(sorted(self.harness.fleet.workers))
+        self.harness.unlist_worker(name)
+        self.record.add_fault(f"{name} is unlisted")
+        await asyncio.sleep(self.rng.uniform(0.1, 1.0))
+        if name in self.harness.fleet.workers:
+            self.harness.list_worker(name)
 
     async def _change_quotas(self) -> None:
         """Lower and raise quotas, some far below what runs."""
@@ -422,130 +423,143 @@
         """Have no owner know which quotas are in force."""
         assert self.quotas is not None
         self.quotas.change(None)
-        await asyncio.sleep(self.also.uniform(0.1, 1.0))
+        await asyncio.sleep(self.fault_rng.uniform(0.1, 1.0))
         self.quotas.change(self._draw_quotas())
 
-    async def _fall(self) -> None:
+    async def _crash_rack(self) -> None:
         """Crash every worker of a rack at the same moment."""
-        rack = self.also.choice(RACKS)
-        for worker in list(self.made.fleet.workers.values()):
+        rack = self.fault_rng.choice(RACKS)
+        for worker in list(self.harness.fleet.workers.values()):
             if rack in worker.entry.labels:
-                self.made.fleet.go_down(worker)
-        await asyncio.sleep(self.also.uniform(0.0, 2.0))
+                self.harness.fleet.crash_and_restart(worker)
+        await asyncio.sleep(self.fault_rng.uniform(0.0, 2.0))
 
-    def _heal(self) -> None:
+    def _end_faults(self) -> None:
         if self.quotas is not None:
             self.quotas.change({})
-        faults = self.made.table.faults
+        faults = self.harness.table.faults
         faults.down, faults.slow_s, faults.lose_replies = False, 0.0, 0
         for host in list(self.hosts):
             if self.hosts[host].done():
-                self._boot(host)
-        for name, worker in self.made.fleet.workers.items():
-            worker.silent = worker.stands_still = False
-            worker.lose_starts = 0
+                self._start_host(host)
+        for name, worker in self.harness.fleet.workers.items():
+            worker.silent = worker.stalled = False
+            worker.unanswered_starts = 0
             worker.late.clear()
-            self.made.entries[name] = worker.entry
-            self.made.list_worker(name)
+            self.harness.entries[name] = worker.entry
+            self.harness.list_worker(name)
 
-    def keep_record(self, name: str, found: list[str], where: Path | None) -> None:
+    def save_record(self, name: str, found: list[str], where: Path | None) -> None:
         """Keep what led to findings."""
         if found and where is not None:
             self.record.write(where / f"{name}.txt", found)
         elif found:
             for finding in found:
-                print(f"finding: {finding}", *self.record.about(finding), sep="\n")
+                print(f"finding: {finding}", *self.record.excerpt(finding), sep="\n")
 
     # --- the verdict --------------------------------------------------------------
 
-    def _owner(self) -> Owner | None:
+    def _current_owner(self) -> Owner | None:
         for owner in self.owners.values():
-            if owner.ready.is_set() and owner.lease.authority():
+            if owner.ready.is_set() and owner.lease.is_valid():
                 return owner
         return None
 
-    def _open(self) -> list[str]:
-        owner = self._owner()
+    def _unfinished_jobs(self) -> list[str]:
+        owner = self._current_owner()
         if owner is None:
             return ["no owner"]
         return [
-            f"{job_id} is {owner.board.shown.get(job_id)}"
-            for job_id, handed in self.handed.items()
-            if handed.accepted and owner.board.shown.get(job_id) not in FINAL
+            f"{job_id} is {owner.cluster_state.reported.get(job_id)}"
+            for job_id, submitted in self.submitted.items()
+            if submitted.accepted
+            and owner.cluster_state.reported.get(job_id) not in FINAL_STATES
         ]
 
-    async def _finish(self) -> None:
+    async def _wait_until_finished(self) -> None:
         loop = asyncio.get_running_loop()
-        end = loop.time() + FINISH_S
-        while self._open() and loop.time() < end:
+        end = loop.time() + COMPLETION_LIMIT_S
+        while self._unfinished_jobs() and loop.time() < end:
             await asyncio.sleep(0.1)
 
-    def _verdict(self) -> list[str]:
-        fleet = self.made.fleet
-        fleet.settle_all()
+    def _findings(self) -> list[str]:
+        fleet = self.harness.fleet
+        fleet.advance_all()
         started = {start.task.partition(".")[0] for start in fleet.starts}
         refused = [
             f"{job_id} was refused and started"
-            for job_id, handed in self.handed.items()
-            if handed.refused and job_id in started
+            for job_id, submitted in self.submitted.items()
+            if submitted.refused and job_id in started
         ]
-        left = [
+        still_running = [
             f"{run.task} of a cancelled job still runs"
             for worker in fleet.workers.values()
             for run in worker.runs.values()
-            if self.handed[run.task.partition(".")[0]].cancelled
+            if self.submitted[run.task.partition(".")[0]].cancelled
         ]
-        told = [*self.told, *fleet.faults, *self._open(), *refused, *left]
-        return [*told, *self._wrongly_judged()]
+        problems = [
+            *self.problems,
+            *fleet.faults,
+            *self._unfinished_jobs(),
+            *refused,
+            *still_running,
+        ]
+        return [*problems, *self._misattributed_crashes()]
 
-    def _wrongly_judged(self) -> list[str]:
+    def _misattributed_crashes(self) -> list[str]:
         """Return tasks that were tried too often, and sound jobs that failed."""
         found = []
-        for task in sorted(self.at_fault):
-            begun = {s.attempt for s in self.made.fleet.starts if s.task == task}
-            if len(begun) > MOST_STARTS:
+        for task in sorted(self.crashing_tasks):
+            begun = {s.attempt for s in self.harness.fleet.starts if s.task == task}
+            if len(begun) > MAX_STARTS:
                 found.append(f"{task} crashes its workers and had {len(begun)} starts")
-        owner = self._owner()
-        shown = {} if owner is None else owner.board.shown
-        faulty = {task.partition(".")[0] for task in self.at_fault}
-        for job_id in self.handed:
-            failed = shown.get(job_id) is JobState.FAILED
+        owner = self._current_owner()
+        reported = {} if owner is None else owner.cluster_state.reported
+        faulty = {task.partition(".")[0] for task in self.crashing_tasks}
+        for job_id in self.submitted:
+            failed = reported.get(job_id) is JobState.FAILED
             if failed and job_id not in faulty:
-                self.sound_failed += 1
-                if not self._looked_at_fault(job_id):
-                    found.append(f"{job_id} is sound and failed")
-            if shown.get(job_id) is JobState.COMPLETED and job_id in faulty:
-                found.append(f"{job_id} crashes its workers and was done")
+                self.healthy_failed += 1
+                if not self._indistinguishable_from_crash(job_id):
+                    found.append(f"{job_id} is healthy but failed")
+            if reported.get(job_id) is JobState.COMPLETED and job_id in faulty:
+                found.append(f"{job_id} crashes its workers and completed")
         return found
 
-    def _looked_at_fault(self, job_id: str) -> bool:
+    def _indistinguishable_from_crash(self, job_id: str) -> bool:
         """Tell whether a worker fell by chance just as a job alone had begun there.
 
         Nobody can tell that from a crash that the job caused. The platform allows to
         give a task up once two workers have crashed under it.
         """
-        fleet = self.made.fleet
-        all_falls = [at for falls in fleet.falls.values() for at in falls]
+        fleet = self.harness.fleet
+        failure_times = [
+            at
+            for worker_failures in fleet.worker_failures.values()
+            for at in worker_failures
+        ]
         for start in fleet.starts:
             if start.task.partition(".")[0] != job_id:
                 continue
-            for fell_at in fleet.falls.get(start.worker, ()):
-                if not 0 <= fell_at - start.at <= SETTLED_S + NOTICED_S:
+            for failed_at in fleet.worker_failures.get(start.worker, ()):
+                if not 0 <= failed_at - start.at <= CRASH_WINDOW_S + DETECTION_DELAY_S:
                     continue
-                beside = [
+                concurrent = [
                     other
                     for other in fleet.starts
                     if other.worker == start.worker
                     and other.task.partition(".")[0] != job_id
-                    and fell_at - SETTLED_S <= other.at <= fell_at
+                    and failed_at - CRASH_WINDOW_S <= other.at <= failed_at
                 ]
-                with_others = sum(abs(at - fell_at) < TOGETHER_S for at in all_falls)
-                if not beside and with_others == 1:
+                simultaneous = sum(
+                    abs(at - failed_at) < SIMULTANEOUS_S for at in failure_times
+                )
+                if not concurrent and simultaneous == 1:
                     return True
         return False
 
 
-async def play(
+async def run_seed(
     seed: int,
     seconds: float,
     crashing: float = 0.0,
@@ -564,33 +578,36 @@
         record_in: Where the record of a run with findings is written; None: what
             concerns them is printed.
     """
-    async with cell(workers=0) as made:
+    async with cell(workers=0) as harness:
         for number in range(WORKERS):
             rack = RACKS[number % len(RACKS)] if crashing else RACKS[0]
-            made.add_worker(f"w{number}", rack=rack, born_ms=int(restarts))
-        made.fleet.tells_progress = True
-        made.fleet.keeps_identity = restarts
+            harness.add_worker(f"w{number}", rack=rack, born_ms=int(restarts))
+        harness.fleet.reports_progress = True
+        harness.fleet.keeps_identity = restarts
         soak = Soak(
-            rnd=random.Random(seed),
-            made=made,
-            record=Record(clock=made.clock),
+            rng=random.Random(seed),
+            harness=harness,
+            record=Record(clock=harness.clock),
             crashing=crashing,
-            also=random.Random(f"crashing {seed}"),
+            fault_rng=random.Random(f"crashing {seed}"),
             restarts=restarts,
-            quotas=QuotaJudge(clock=made.clock) if quotas else None,
+            quotas=QuotaChecker(clock=harness.clock) if quotas else None,
         )
-        logs.observe(soak.record.take_event)
+        logs.set_observer(soak.record.add_event)
         try:
             found = await soak.run(seconds)
         finally:
-            logs.observe(None)
-        soak.keep_record(f"seed-{seed}", found, record_in)
-        accepted = [handed for handed in soak.handed.values() if handed.accepted]
+            logs.set_observer(None)
+        soak.save_record(f"seed-{seed}", found, record_in)
+        accepted = [
+            submitted for submitted in soak.submitted.values() if submitted.accepted
+        ]
         print(
-            f"seed {seed}: {len(soak.handed)} jobs, {len(accepted)} accepted, "
-            f"{len(made.fleet.starts)} starts, {soak._lives} lives, "
-            f"{len(soak.at_fault)} at fault, {soak.sound_failed} sound given up, "
-            f"{len(made.fleet.before_first_list)} late copies, "
+            f"seed {seed}: {len(soak.submitted)} jobs, {len(accepted)} accepted, "
+            f"{len(harness.fleet.starts)} starts, {soak._incarnations} incarnations, "
+            f"{len(soak.crashing_tasks)} crashing tasks, "
+            f"{soak.healthy_failed} healthy jobs failed, "
+            f"{len(harness.fleet.late_copies)} late copies, "
             f"{len(found)} findings",
             flush=True,
         )
@@ -611,7 +628,7 @@
     bad = 0
     for seed in range(cfg.seed, cfg.seed + cfg.runs):
         found = asyncio.run(
-            play(
+            run_seed(
                 seed,
                 cfg.seconds,
                 cfg.crashing,
--- a/tests/soak_record.py
+++ b/tests/soak_record.py
@@ -15,11 +15,11 @@
 
 from cranberrycleat import events
 from cranberrycleat.clock import Clock
-from cranberrycleat.standins.fleet import WorkerRecord
+from cranberrycleat.standins.fleet import WorkerEvent
 
-BEFORE_S: Final = 6.0
+CONTEXT_WINDOW_S: Final = 6.0
 """How much of a worker's record before its finding is shown."""
-MOST_SHOWN: Final = 400
+MAX_EXCERPT_LINES: Final = 400
 _JOB: Final = re.compile(r"\b[0-9a-f]{16}\b")
 _WORKER: Final = re.compile(r"\bw-?\d+(?:\+\d+)?\b")
 
@@ -61,66 +61,70 @@
     clock: Clock
     entries: list[Entry] = attrs.field(factory=list)
 
-    def take_event(self, event: Any) -> None:
+    def add_event(self, event: Any) -> None:
         """Take in an event of an owner."""
         name = events.KINDS[type(event)].name
         fields = attrs.asdict(event)
         said = ", ".join(f"{key}={value}" for key, value in fields.items())
         self._add("owner", f"{name} {said}")
 
-    def take_worker(self, record: WorkerRecord) -> None:
+    def add_worker_event(self, record: WorkerEvent) -> None:
         """Take in what happened on a worker."""
         task = f" {record.task}#{record.attempt}" if record.task else ""
         text = f"{record.worker}@{record.born_ms} {record.what}{task} {record.detail}"
         kind = "fault" if record.what == "fault" else "worker"
         self._add(kind, text.rstrip(), record.what)
 
-    def played(self, text: str) -> None:
+    def add_fault(self, text: str) -> None:
         """Note a fault that the soak plays."""
         self._add("played", text)
 
-    def raised(self, exc: BaseException) -> None:
+    def add_exception(self, exc: BaseException) -> None:
         """Note an exception that reached a caller of the system."""
         self._add("raised", "\n".join((repr(exc), *traceback.format_exception(exc))))
 
-    def charges(self, text: str) -> None:
+    def add_placements(self, text: str) -> None:
         """Note what an owner counts on a worker."""
         self._add("owner", text)
 
     def _add(self, kind: str, text: str, what: str = "") -> None:
         self.entries.append(Entry(at=self.clock.now(), kind=kind, text=text, what=what))
 
-    def about(self, finding: str) -> list[str]:
+    def excerpt(self, finding: str) -> list[str]:
         """Return the lines that concern a finding, the newest if there are many."""
         jobs = set(_JOB.findall(finding))
-        raised = [each for each in self.entries if each.is_raised(finding)]
-        if raised:
-            found = raised
+        add_exception = [each for each in self.entries if each.is_raised(finding)]
+        if add_exception:
+            found = add_exception
         elif jobs:
-            found = list(self._about_jobs(jobs))
+            found = list(self._excerpt_of_jobs(jobs))
         else:
-            found = list(self._about_workers(set(_WORKER.findall(finding)), finding))
-        return [str(each) for each in found[-MOST_SHOWN:]]
+            found = list(
+                self._excerpt_of_workers(set(_WORKER.findall(finding)), finding)
+            )
+        return [str(each) for each in found[-MAX_EXCERPT_LINES:]]
 
-    def _about_jobs(self, jobs: set[str]) -> Iterator[Entry]:
+    def _excerpt_of_jobs(self, jobs: set[str]) -> Iterator[Entry]:
         """Yield what concerns jobs, and the lives of all workers meanwhile."""
         named = [each for each in self.entries if jobs & set(_JOB.findall(each.text))]
         if not named:
             return
-        first, last = named[0].at - BEFORE_S, named[-1].at
-        lives = {"life begins", "life is over", "crashes"}
+        first, last = named[0].at - CONTEXT_WINDOW_S, named[-1].at
+        incarnation_events = {"life begins", "life is over", "crashes"}
         for each in self.entries:
             meanwhile = first <= each.at <= last
             if each.what == "list":
                 continue
             if jobs & set(_JOB.findall(each.text)):
                 yield each
-            elif meanwhile and (each.what in lives or each.kind == "played"):
+            elif meanwhile and (
+                each.what in incarnation_events or each.kind == "played"
+            ):
                 yield each
             elif meanwhile and each.text.startswith(("worker.", "owner.")):
                 yield each
 
-    def _about_workers(self, workers: set[str], finding: str) -> Iterator[Entry]:
+    def _excerpt_of_workers(self, workers: set[str], finding: str) -> Iterator[Entry]:
         """Yield what concerned workers shortly before a fault there."""
         faults = [
             each.at
@@ -128,7 +132,7 @@
             if each.kind == "fault" and finding in each.text
         ]
         for each in self.entries:
-            near = any(at - BEFORE_S <= each.at <= at + 0.1 for at in faults)
+            near = any(at - CONTEXT_WINDOW_S <= each.at <= at + 0.1 for at in faults)
             named = workers & set(_WORKER.findall(each.text))
             if near and (named or each.kind in ("played", "fault")):
                 yield each
@@ -138,6 +142,6 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         lines: list[str] = []
         for each in findings:
-            lines += [f"finding: {each}", *self.about(each), ""]
+            lines += [f"finding: {each}", *self.excerpt(each), ""]
         lines += ["the whole record", *map(str, self.entries)]
         path.write_text("\n".join(lines) + "\n")
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -14,32 +14,32 @@
 from cranberrycleat.standins.feed_table import MemoryFeedTable
 from cranberrycleat.table import Row
 from cranberrycleat.workflow.access import (
-    REVOKE_MARGIN_S,
-    UNKNOWN_MARGIN_S,
-    Access,
+    REVOKED_KEY_MARGIN_S,
+    UNKNOWN_KEY_MARGIN_S,
     Denied,
     Granted,
+    KeyAuthorizer,
     Undecided,
     key_digest,
 )
 from cranberrycleat.workflow.config_watch import ConfigWatch
-from cranberrycleat.workflow.contact import Contact
 from cranberrycleat.workflow.directory import ConfigFollower
-from cranberrycleat.workflow.door import Door
+from cranberrycleat.workflow.job_frontend import JobFrontend
 from cranberrycleat.workflow.owner import Owner
 from cranberrycleat.workflow.peering import SubmitRequest
 from cranberrycleat.workflow.ports import ClusterConfig, Snapshot, Workspace
+from cranberrycleat.workflow.reachability import Reachability
 from tests.cell import CONFIG, Cell, cell, job, queue, step, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 CONFIG_BOUND_S = 3.0
 REVOKE_BOUND_S = 5.0
-SETTLED_S = REVOKE_BOUND_S - REVOKE_MARGIN_S
+MAX_TRUSTED_AGE_S = REVOKE_BOUND_S - REVOKED_KEY_MARGIN_S
 
 
 def workspace(name: str, *keys: str, quota: Amounts = Amounts()) -> Workspace:
     """Return a workspace with some keys."""
-    digests = tuple(key_digest(each) for each in keys)
+    digests = tuple(key_digest(key) for key in keys)
     return Workspace(name=name, key_digests=digests, quota=quota)
 
 
@@ -48,16 +48,18 @@
     return attrs.evolve(CONFIG, version=version, workspaces=workspaces)
 
 
-TWO = config_of(workspace("one", "key-1", "key-2"), workspace("two", "key-3"))
+TWO_WORKSPACES = config_of(
+    workspace("one", "key-1", "key-2"), workspace("two", "key-3")
+)
 
 
 def access(
     config: ClusterConfig | None, *, age_s: float = 0.0, strict: bool = True
-) -> Access:
+) -> KeyAuthorizer:
     """Return what judges by a configuration of some age."""
     clock = ManualClock()
     clock.advance(seconds=100.0)
-    return Access(
+    return KeyAuthorizer(
         config=lambda: config,
         confirmed_at=lambda: 100.0 - age_s,
         clock=clock,
@@ -74,21 +76,23 @@
         ("key-3", 0.0, True, "two"),
         ("key-4", 0.0, True, Denied),
         ("", 0.0, True, Denied),
-        ("key-1", SETTLED_S, True, "one"),
-        ("key-1", SETTLED_S + 0.01, True, Undecided),
-        ("key-1", SETTLED_S + 0.01, False, "one"),
-        ("key-4", CONFIG_BOUND_S - UNKNOWN_MARGIN_S, True, Denied),
+        ("key-1", MAX_TRUSTED_AGE_S, True, "one"),
+        ("key-1", MAX_TRUSTED_AGE_S + 0.01, True, Undecided),
+        ("key-1", MAX_TRUSTED_AGE_S + 0.01, False, "one"),
+        ("key-4", CONFIG_BOUND_S - UNKNOWN_KEY_MARGIN_S, True, Denied),
         ("key-4", CONFIG_BOUND_S, True, Undecided),
         ("key-4", CONFIG_BOUND_S, False, Undecided),
         ("", 1000.0, True, Denied),
     ],
 )
-def test_how_a_key_is_judged(
+def test_key_authorization(
     key: str, age_s: float, strict: bool, expected: str | type
 ) -> None:
     """By a configuration that may be old neither a key nor its lack is certain."""
     digest = key_digest(key) if key else ""
-    found = access(TWO, age_s=age_s, strict=strict).judge(queue(), digest)
+    found = access(TWO_WORKSPACES, age_s=age_s, strict=strict).authorize(
+        queue(), digest
+    )
     if isinstance(expected, str):
         assert found == Granted(workspace=expected, digest=digest, version=1)
     else:
@@ -99,23 +103,23 @@
     ("config", "public", "expected"),
     [
         (CONFIG, False, Granted(version=1)),
-        (TWO, True, Granted(version=1)),
+        (TWO_WORKSPACES, True, Granted(version=1)),
         (config_of(), False, Denied(reason="a key is needed")),
         (None, False, Undecided(reason="no configuration yet")),
     ],
     ids=["no workspaces", "a public queue", "no workspace is left", "none yet"],
 )
-def test_who_needs_no_key(
+def test_requests_that_need_no_key(
     config: ClusterConfig | None, public: bool, expected: object
 ) -> None:
-    judged = access(config, age_s=50.0).judge(queue(public=public), "")
+    judged = access(config, age_s=50.0).authorize(queue(public=public), "")
     assert judged == expected
 
 
 @pytest.mark.parametrize(
     ("held", "version", "expected"),
     [
-        (TWO, 0, True),
+        (TWO_WORKSPACES, 0, True),
         (config_of(workspace("one", "key-2"), version=2), 1, False),
         (config_of(workspace("one", "key-2"), version=2), 2, True),
         (config_of(workspace("two", "key-1"), version=2), 1, False),
@@ -123,14 +127,14 @@
     ],
     ids=["still there", "taken away", "judged by this one", "moved", "none here"],
 )
-def test_a_grant_is_judged_again_by_a_newer_configuration(
+def test_grant_is_rechecked_against_a_newer_configuration(
     held: ClusterConfig | None, version: int, expected: bool
 ) -> None:
     granted = Granted(workspace="one", digest=key_digest("key-1"), version=version)
     assert access(held).still_grants(granted) is expected
 
 
-def test_quotas_are_told_only_while_none_newer_may_be_in_force() -> None:
+def test_quotas_are_returned_only_while_known_to_be_current() -> None:
     quota = Amounts(processors=5)
     config = config_of(workspace("one", quota=quota))
     assert access(config, age_s=CONFIG_BOUND_S).quotas() == {"one": quota}
@@ -148,10 +152,13 @@
         store=table,
         table="op",
         key="op/config",
-        read=lambda row: attrs.evolve(TWO, version=int(row.value)),
+        read=lambda row: attrs.evolve(TWO_WORKSPACES, version=int(row.value)),
     )
     return ConfigWatch(
-        follower=follower, contact=Contact(clock=clock), clock=clock, bound_s=3.0
+        follower=follower,
+        reachability=Reachability(clock=clock),
+        clock=clock,
+        bound_s=3.0,
     )
 
 
@@ -160,15 +167,15 @@
     [(1, 50.0, 2.0, 48.0), (2, 50.0, 0.0, 10.0), (0, 50.0, 0.0, 10.0)],
     ids=["the same version", "a newer one", "none"],
 )
-def test_what_another_host_tells_of_the_configurations_age(
+def test_peer_confirms_the_configuration_age(
     version: int, asked_at: float, age_s: float, expected: float
 ) -> None:
     """A host that lost the table goes on by the word of one that hears it."""
-    made = watch(MemoryFeedTable(), ManualClock())
-    made.follower.take(attrs.evolve(TWO, version=1))
-    made.confirmed_at = 10.0
-    made.hear(version, asked_at=asked_at, age_s=age_s)
-    assert made.confirmed_at == expected
+    config_watch = watch(MemoryFeedTable(), ManualClock())
+    config_watch.follower.install(attrs.evolve(TWO_WORKSPACES, version=1))
+    config_watch.confirmed_at = 10.0
+    config_watch.note_version(version, asked_at=asked_at, age_s=age_s)
+    assert config_watch.confirmed_at == expected
 
 
 def test_an_unreadable_configuration_confirms_nothing() -> None:
@@ -177,20 +184,20 @@
     def read(row: Row) -> ClusterConfig:
         raise errors.FindingsError(findings=())
 
-    made = watch(MemoryFeedTable(), ManualClock())
-    made.follower.take(TWO)
-    made.follower.read = read
+    config_watch = watch(MemoryFeedTable(), ManualClock())
+    config_watch.follower.install(TWO_WORKSPACES)
+    config_watch.follower.read = read
     row = Row(key="op/config", value="2", version=2)
-    made.follower._take_all((row,), Snapshot(rows=(row,), version=2))
-    made.hear(1, asked_at=50.0, age_s=0.0)
-    assert made.confirmed_at == float("-inf")
+    config_watch.follower._apply_rows((row,), Snapshot(rows=(row,), version=2))
+    config_watch.note_version(1, asked_at=50.0, age_s=0.0)
+    assert config_watch.confirmed_at == float("-inf")
 
 
 # --- over a door ----------------------------------------------------------------------
 
 
 async def call(
-    door: Door, method: str, path: str, key: str = "", body: bytes = b""
+    job_frontend: JobFrontend, method: str, path: str, key: str = "", body: bytes = b""
 ) -> tuple[int, Any, dict[bytes, bytes]]:
     """Call the front as the platform does; return status, body and headers."""
     sent: list[dict[str, Any]] = []
@@ -205,7 +212,7 @@
     async def send(message: dict[str, Any]) -> None:
         sent.append(message)
 
-    await Front(door=door, is_ready=lambda: True)(scope, receive, send)
+    await Front(job_frontend=job_frontend, is_ready=lambda: True)(scope, receive, send)
     answer = b"".join(each.get("body", b"") for each in sent)
     return sent[0]["status"], json.loads(answer), dict(sent[0]["headers"])
 
@@ -215,11 +222,13 @@
 ).encode()
 
 
-def door_of(made: Cell, owner: Owner | None, config: ClusterConfig = TWO) -> Door:
+def job_frontend_of(
+    env: Cell, owner: Owner | None, config: ClusterConfig = TWO_WORKSPACES
+) -> JobFrontend:
     """Return a door by whose configuration callers need keys."""
-    door = made.door(lambda: owner)
-    door.config.current = config
-    return door
+    job_frontend = env.job_frontend(lambda: owner)
+    job_frontend.config.current = config
+    return job_frontend
 
 
 @pytest.mark.parametrize("path", ["/q/", "/q/j"])
@@ -229,122 +238,124 @@
     """Nothing is handed on; the answer says why and what is wanted."""
 
     async def run() -> None:
-        async with cell() as made:
-            owner = await made.own()
-            door = door_of(made, owner)
-            status, body, headers = await call(door, method, path, key, JOB)
+        async with cell() as env:
+            owner = await env.own()
+            job_frontend = job_frontend_of(env, owner)
+            status, body, headers = await call(job_frontend, method, path, key, JOB)
             assert (status, headers[b"www-authenticate"]) == (401, b"Token")
             assert body["reason"] and "key-9" not in json.dumps(body)
-            assert not owner.board.jobs
+            assert not owner.cluster_state.jobs
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("with_owner", [True, False])
-def test_a_job_is_only_shown_to_its_workspace(with_owner: bool) -> None:
+def test_job_is_visible_only_to_its_workspace(with_owner: bool) -> None:
     """To the key of another one it does not exist, and is not cancelled either."""
 
     async def run() -> None:
-        async with cell(workers=0) as made:
-            owner = await made.own() if with_owner else None
-            door = door_of(made, owner)
-            assert (await call(door, "POST", "/q/j", "key-1", JOB))[0] == 200
-            assert (await call(door, "GET", "/q/j", "key-3"))[0] == 410
-            assert (await call(door, "GET", "/q/j", "key-2"))[0] == 200
+        async with cell(workers=0) as env:
+            owner = await env.own() if with_owner else None
+            job_frontend = job_frontend_of(env, owner)
+            assert (await call(job_frontend, "POST", "/q/j", "key-1", JOB))[0] == 200
+            assert (await call(job_frontend, "GET", "/q/j", "key-3"))[0] == 410
+            assert (await call(job_frontend, "GET", "/q/j", "key-2"))[0] == 200
             if with_owner:
-                assert (await call(door, "DELETE", "/q/j", "key-3"))[0] == 410
-                assert (await call(door, "GET", "/q/j", "key-1"))[1][
+                assert (await call(job_frontend, "DELETE", "/q/j", "key-3"))[0] == 410
+                assert (await call(job_frontend, "GET", "/q/j", "key-1"))[1][
                     "state"
                 ] == "queued"
-                assert (await call(door, "DELETE", "/q/j", "key-1"))[0] == 200
+                assert (await call(job_frontend, "DELETE", "/q/j", "key-1"))[0] == 200
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("with_owner", [True, False])
-def test_an_identity_of_another_workspace_is_not_taken_for_a_repeat(
+def test_job_id_of_another_workspace_is_not_a_duplicate(
     with_owner: bool,
 ) -> None:
     """Told that it was accepted, its caller would wait for a job that nobody has."""
 
     async def run() -> None:
-        async with cell(workers=0) as made:
-            owner = await made.own() if with_owner else None
-            door = door_of(made, owner)
-            assert (await call(door, "POST", "/q/j", "key-1", JOB))[0] == 200
-            assert (await call(door, "POST", "/q/j", "key-3", JOB))[0] == 400
-            assert (await call(door, "POST", "/q/j", "key-2", JOB))[0] == 200
+        async with cell(workers=0) as env:
+            owner = await env.own() if with_owner else None
+            job_frontend = job_frontend_of(env, owner)
+            assert (await call(job_frontend, "POST", "/q/j", "key-1", JOB))[0] == 200
+            assert (await call(job_frontend, "POST", "/q/j", "key-3", JOB))[0] == 400
+            assert (await call(job_frontend, "POST", "/q/j", "key-2", JOB))[0] == 200
 
-    go(run())
+    run_async(run())
 
 
-def test_a_job_stays_its_workspaces_after_it_ended_and_its_owner_died() -> None:
+def test_job_keeps_its_workspace_after_it_ends_and_its_owner_dies() -> None:
     async def run() -> None:
-        async with cell() as made:
-            owner = await made.own()
-            door = door_of(made, owner)
-            await call(door, "POST", "/q/j", "key-1", JOB)
+        async with cell() as env:
+            owner = await env.own()
+            job_frontend = job_frontend_of(env, owner)
+            await call(job_frontend, "POST", "/q/j", "key-1", JOB)
             await until(lambda: owner.state("j", "one").state == "completed")
-            await made.close()
-            made.tasks.clear()
-            for again in (None, await made.own("two")):
-                door = door_of(made, again)
-                assert (await call(door, "GET", "/q/j", "key-3"))[0] == 410
-                status, body, _ = await call(door, "GET", "/q/j", "key-1")
+            await env.close()
+            env.tasks.clear()
+            for again in (None, await env.own("two")):
+                job_frontend = job_frontend_of(env, again)
+                assert (await call(job_frontend, "GET", "/q/j", "key-3"))[0] == 410
+                status, body, _ = await call(job_frontend, "GET", "/q/j", "key-1")
                 assert (status, body["state"]) == (200, "completed")
 
-    go(run())
+    run_async(run())
 
 
-def test_each_request_is_judged_by_itself() -> None:
+def test_each_request_is_authorized_separately() -> None:
     """A key that is taken away is good no longer on connections opened before."""
 
     async def run() -> None:
-        async with cell() as made:
-            door = door_of(made, await made.own())
-            assert (await call(door, "POST", "/q/j", "key-1", JOB))[0] == 200
-            door.config.current = config_of(workspace("one", "key-2"), version=2)
-            assert (await call(door, "GET", "/q/j", "key-1"))[0] == 401
-            assert (await call(door, "GET", "/q/j", "key-2"))[0] == 200
+        async with cell() as env:
+            job_frontend = job_frontend_of(env, await env.own())
+            assert (await call(job_frontend, "POST", "/q/j", "key-1", JOB))[0] == 200
+            job_frontend.config.current = config_of(
+                workspace("one", "key-2"), version=2
+            )
+            assert (await call(job_frontend, "GET", "/q/j", "key-1"))[0] == 401
+            assert (await call(job_frontend, "GET", "/q/j", "key-2"))[0] == 200
 
-    go(run())
+    run_async(run())
 
 
-def test_a_host_that_may_have_missed_a_change_refuses_for_now() -> None:
+def test_host_with_a_stale_configuration_answers_unavailable() -> None:
     """Neither run by a key that may be gone nor told that the key is bad."""
 
     async def run() -> None:
-        async with cell() as made:
-            door = door_of(made, await made.own())
-            door.access = access(TWO, age_s=60.0)
+        async with cell() as env:
+            job_frontend = job_frontend_of(env, await env.own())
+            job_frontend.access = access(TWO_WORKSPACES, age_s=60.0)
             for key in ("key-1", "key-9"):
-                status, _, headers = await call(door, "POST", "/q/j", key, JOB)
+                status, _, headers = await call(job_frontend, "POST", "/q/j", key, JOB)
                 assert status == 503 and int(headers[b"retry-after"]) >= 1
-            assert not [each for each in made.table.rows if each.startswith("inbox/")]
+            assert not [each for each in env.table.rows if each.startswith("inbox/")]
 
-    go(run())
+    run_async(run())
 
 
-def test_the_owner_judges_by_a_newer_configuration() -> None:
+def test_owner_rechecks_grants_against_a_newer_configuration() -> None:
     """A host that has not heard of the change yet hands on what is good no more."""
 
     async def run() -> None:
-        async with cell() as made:
-            owner = await made.own()
+        async with cell() as env:
+            owner = await env.own()
             owner.access = access(config_of(workspace("one", "key-2"), version=2))
-            door = door_of(made, owner)
-            answer = await call(door, "POST", "/q/j", "key-1", JOB)
-            assert answer[0] == 401 and not owner.board.jobs
+            job_frontend = job_frontend_of(env, owner)
+            answer = await call(job_frontend, "POST", "/q/j", "key-1", JOB)
+            assert answer[0] == 401 and not owner.cluster_state.jobs
             granted = Granted(workspace="one", digest=key_digest("key-2"), version=1)
             req = SubmitRequest(
                 job_id="k", queue=queue(), spec=job(step()), access=granted
             )
             assert (await owner.submit(req)).accepted
 
-    go(run())
+    run_async(run())
 
 
-def test_no_key_stands_in_what_a_host_holds() -> None:
+def test_decoded_configuration_holds_no_plain_text_key() -> None:
     """Dumps, logs and messages are written from what the adapter decodes."""
     tenants = [{"name": "one", "api_keys": ["secret-key"], "cap": {"cpu": 2000}}]
     value = json.dumps({"version": 1, "tenants": tenants})
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -7,54 +7,56 @@
 
 from cranberrycleat.amounts import Amounts
 from cranberrycleat.workflow import planner as planning
-from cranberrycleat.workflow.board import Board
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.dispatcher import Dispatcher
 from cranberrycleat.workflow.fleet import Fleet
 from cranberrycleat.workflow.planner import Planner
-from cranberrycleat.workflow.pool_view import look_at
-from cranberrycleat.workflow.ports import PermitPolicy
-from cranberrycleat.workflow.starts import Starts
+from cranberrycleat.workflow.pool_snapshot import take_snapshot
+from cranberrycleat.workflow.ports import PermitTiming
 from tests.cell import POOL, cell, job, queue, step
-from tests.fakes import go
-from tests.test_planner import board, plan, submit, worker
+from tests.fakes import run_async
+from tests.test_planner import cluster_state, plan, submit, worker
 
-PERMITS = PermitPolicy(decide_s=0.1, each_s=0.0, valid_s=1.5)
+PERMITS = PermitTiming(decide_s=0.1, each_s=0.0, valid_s=1.5)
 STEPS, WORKERS = 100, 50
 
 
-def _full(*, permits: PermitPolicy | None = None) -> Board:
+def _board_with_backlog(*, permits: PermitTiming | None = None) -> ClusterState:
     """Return a board with a backlog and no room."""
-    made = board(*(worker(f"w{number}") for number in range(WORKERS)))
-    for each in made.fleet.workers.values():
+    owner_board = cluster_state(*(worker(f"w{number}") for number in range(WORKERS)))
+    for each in owner_board.fleet.workers.values():
         each.free = Amounts(processors=300, memory_mb=4000)
     for number in range(STEPS):
         gang = number % 3 == 0
-        submit(made, f"j{number}", job(step(4, gang=gang)), queue(permits=permits))
-    return made
+        submit(
+            owner_board, f"j{number}", job(step(4, gang=gang)), queue(permits=permits)
+        )
+    return owner_board
 
 
-def test_a_backlog_without_room_looks_at_no_worker_for_each_step(
+def test_round_cost_is_linear_on_full_pool(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The work of a round grows with steps and workers, not with their product."""
-    made = _full()
-    looks = 0
+    owner_board = _board_with_backlog()
+    comparisons = 0
     fits_in = Amounts.fits_in
 
     def counting(self: Amounts, free: Amounts) -> bool:
-        nonlocal looks
-        looks += 1
+        nonlocal comparisons
+        comparisons += 1
         return fits_in(self, free)
 
     monkeypatch.setattr(Amounts, "fits_in", counting)
-    assert not plan(made).groups
-    assert looks < 5 * STEPS
+    assert not plan(owner_board).groups
+    assert comparisons < 5 * STEPS
 
 
-def test_permits_are_asked_for_the_most_urgent_of_a_backlog_only() -> None:
+def test_permits_are_prefetched_for_most_urgent_steps_only() -> None:
     """What cannot start for long would only keep the permit service busy."""
-    wishes = plan(_full(permits=PERMITS)).wishes
-    assert len(wishes) == planning.ASKED_AHEAD
-    assert all(len(wish.workers) == WORKERS for wish in wishes)
+    permit_queries = plan(_board_with_backlog(permits=PERMITS)).permit_queries
+    assert len(permit_queries) == planning.MAX_PERMIT_PREFETCH_STEPS
+    assert all(len(query.workers) == WORKERS for query in permit_queries)
 
 
 @given(
@@ -64,7 +66,7 @@
     needs=st.tuples(st.integers(0, 5000), st.integers(0, 5000)),
 )
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_what_the_view_rules_out_fits_nowhere(
+def test_snapshot_never_excludes_a_fitting_worker(
     free: list[tuple[int, int]], needs: tuple[int, int]
 ) -> None:
     """A bound may let too much through, but never holds back what has room."""
@@ -75,48 +77,50 @@
         fleet.add(each)
     wanted = Amounts(processors=needs[0], memory_mb=needs[1])
     fits = any(wanted.fits_in(each.free) for each in fleet.workers.values())
-    assert look_at(fleet, POOL, 0.0).may_fit(wanted) or not fits
+    assert take_snapshot(fleet, POOL, 0.0).might_fit(wanted) or not fits
 
 
-def test_a_worker_that_may_not_draw_is_not_seen() -> None:
+def test_snapshot_omits_resting_worker() -> None:
     resting = worker("w")
-    resting.rests_until = 10.0
-    assert look_at(Fleet(workers={"w": resting}), POOL, 5.0).drawing == ()
-    assert look_at(Fleet(workers={"w": resting}), POOL, 11.0).drawing == (resting,)
+    resting.quarantined_until = 10.0
+    assert take_snapshot(Fleet(workers={"w": resting}), POOL, 5.0).drawing == ()
+    assert take_snapshot(Fleet(workers={"w": resting}), POOL, 11.0).drawing == (
+        resting,
+    )
 
 
-def test_a_long_round_leaves_as_much_time_to_everything_else(
+def test_long_rounds_yield_equal_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Rounds of 0.1 s one after the other would starve the links and the door."""
     rounds: list[float] = []
 
     async def run() -> None:
-        async with cell() as made:
-            owner = await made.own()
+        async with cell() as running_cell:
+            owner = await running_cell.own()
 
-            def slow(self: Starts) -> None:
-                rounds.append(made.clock.now())
-                until = made.clock.now() + 0.1
-                while made.clock.now() < until:
+            def slow(self: Dispatcher) -> None:
+                rounds.append(running_cell.clock.now())
+                until = running_cell.clock.now() + 0.1
+                while running_cell.clock.now() < until:
                     pass
                 owner.changed()
 
-            monkeypatch.setattr(Starts, "plan", slow)
+            monkeypatch.setattr(Dispatcher, "plan", slow)
             owner.changed()
             await asyncio.sleep(1.0)
 
-    go(run())
+    run_async(run())
     gaps = [after - before for before, after in zip(rounds, rounds[1:], strict=False)]
     assert gaps and min(gaps) >= 0.19
 
 
-def test_the_order_of_steps_changes_as_their_time_runs_out() -> None:
+def test_step_order_follows_remaining_slack() -> None:
     """What an order rests on is kept with the step; what is left of it is not."""
-    made = board(worker("w", processors=1000))
-    submit(made, "a", job(step(1)), queue())
-    submit(made, "b", job(step(1, estimate_s=0.5)), queue())
-    rounds = Planner(board=made)
-    first = [each.name for each in rounds._ordered(0.0, 1_000_000.0)]
-    second = [each.name for each in rounds._ordered(0.0, 1_000_001.2)]
+    owner_board = cluster_state(worker("w", processors=1000))
+    submit(owner_board, "a", job(step(1)), queue())
+    submit(owner_board, "b", job(step(1, estimate_s=0.5)), queue())
+    rounds = Planner(cluster_state=owner_board)
+    first = [each.name for each in rounds._steps_by_rank(0.0, 1_000_000.0)]
+    second = [each.name for each in rounds._steps_by_rank(0.0, 1_000_001.2)]
     assert first == ["a.0.0", "b.0.0"] and second == ["b.0.0", "a.0.0"]
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -6,85 +6,85 @@
 from cranberrycleat.table import Row
 from cranberrycleat.workflow import batches, rows
 from cranberrycleat.workflow.batches import note_stored, take_batch
-from cranberrycleat.workflow.board import Board
+from cranberrycleat.workflow.cluster_state import ClusterState
 from cranberrycleat.workflow.fleet import FleetWorker
 from cranberrycleat.workflow.ports import EndedTask, EndKind, SyncReply
 from cranberrycleat.workflow.takeover import StoredRows, restore
 from tests.cell import entry, job, queue, step
 
 
-def _board(jobs: int, *, program: str = "p") -> Board:
-    board = Board(time_of_day=lambda: 1000.0, now=lambda: 0.0)
-    board.fleet.workers["w"] = FleetWorker(entry=entry("w", processors=10**9))
+def _board(jobs: int, *, program: str = "p") -> ClusterState:
+    cluster_state = ClusterState(time_of_day=lambda: 1000.0, now=lambda: 0.0)
+    cluster_state.fleet.workers["w"] = FleetWorker(entry=entry("w", processors=10**9))
     for number in range(jobs):
         spec = attrs.evolve(job(step()), program=program)
-        board.accept(f"{number}", queue(), spec)
-    return board
+        cluster_state.accept(f"{number}", queue(), spec)
+    return cluster_state
 
 
-def _end(board: Board, *numbers: int) -> None:
+def _end(cluster_state: ClusterState, *numbers: int) -> None:
     """Have the worker tell that jobs of these numbers are done, in this order."""
-    worker = board.fleet.workers["w"]
+    worker = cluster_state.fleet.workers["w"]
     ended = []
     for place, number in enumerate(numbers):
-        task = board.jobs[f"{number}"].open[0].steps[0].tasks[0]
-        board.place(task, worker, 1, now=0.0)
+        task = cluster_state.jobs[f"{number}"].open[0].steps[0].tasks[0]
+        cluster_state.place(task, worker, 1, now=0.0)
         ended.append(
             EndedTask(
                 number=place + 1, task=task.name, attempt=1, how=EndKind.DONE, saved=""
             )
         )
     reply = SyncReply(worker_time_ms=1, running=(), ended=tuple(ended))
-    board.sync(worker, reply, sent_at=0.0, now=0.0)
+    cluster_state.sync(worker, reply, sent_at=0.0, now=0.0)
 
 
 @pytest.mark.parametrize(
     ("program", "expected"),
-    [("p", batches.MOST_ENTRIES), ("x" * 4000, batches.MOST_ENTRIES // 2)],
+    [("p", batches.MAX_ENTRIES), ("x" * 4000, batches.MAX_ENTRIES // 2)],
     ids=["small", "the largest programs"],
 )
-def test_a_transaction_is_filled_with_entries(program: str, expected: int) -> None:
+def test_batch_is_filled_to_entry_limit(program: str, expected: int) -> None:
     """A new job needs one entry, a large one two; the rest stays for the next."""
-    board = _board(200, program=program)
-    batch = take_batch(board)
+    cluster_state = _board(200, program=program)
+    batch = take_batch(cluster_state)
     assert len(batch.jobs) == expected
-    assert len(batch.puts) + len(batch.deletes) <= batches.MOST_ENTRIES
-    assert len(board.dirty) == 200 - expected
+    assert len(batch.puts) + len(batch.deletes) <= batches.MAX_ENTRIES
+    assert len(cluster_state.dirty) == 200 - expected
 
 
-def test_a_transaction_holds_no_more_bytes_than_it_may() -> None:
+def test_batch_respects_byte_limit() -> None:
     batch = take_batch(_board(10, program="x" * 4000), 10_000)
     assert len(batch.jobs) == 2
 
 
-def test_one_job_that_is_too_large_is_stored_alone() -> None:
+def test_oversized_job_is_stored_alone() -> None:
     """It would otherwise keep everything behind it from being stored."""
     assert len(take_batch(_board(2), 100).jobs) == 1
 
 
-def test_ends_are_acknowledged_as_their_own_jobs_are_stored() -> None:
+def test_ends_are_acknowledged_once_their_jobs_are_stored() -> None:
     """In a backlog something is always dirty; a worker must not list its ends for ever.
 
     The third end belongs to a job that comes in the second transaction, and the
     ends behind it wait for it.
     """
-    board = _board(100)
-    _end(board, 0, 1, 99, 2)
-    worker = board.fleet.workers["w"]
-    first = take_batch(board)
-    assert first.heard == (("w", 2),)
-    note_stored(board, first)
+    cluster_state = _board(100)
+    _end(cluster_state, 0, 1, 99, 2)
+    worker = cluster_state.fleet.workers["w"]
+    first = take_batch(cluster_state)
+    assert first.acknowledgeable == (("w", 2),)
+    note_stored(cluster_state, first)
     assert worker.ended_upto == 2
-    while board.dirty:
-        batch = take_batch(board)
-        note_stored(board, batch)
-    assert worker.ended_upto == 4 and not worker.heard_ends
+    while cluster_state.dirty:
+        batch = take_batch(cluster_state)
+        note_stored(cluster_state, batch)
+    assert worker.ended_upto == 4 and not worker.unstored_ends
 
 
-def _entries(board: Board) -> tuple[int, int]:
+def _store_and_count_rows(cluster_state: ClusterState) -> tuple[int, int]:
     """Store what is dirty; return how many rows that wrote and removed."""
-    batch = take_batch(board)
-    note_stored(board, batch)
+    batch = take_batch(cluster_state)
+    note_stored(cluster_state, batch)
     return len(batch.puts), len(batch.deletes)
 
 
@@ -93,49 +93,51 @@
     [("p", [(1, 0), (1, 0)]), ("x" * 4000, [(2, 0), (1, 1)])],
     ids=["small", "large"],
 )
-def test_what_a_job_s_life_writes(
+def test_rows_written_during_job_lifetime(
     program: str, expected: list[tuple[int, int]]
 ) -> None:
     """In a slow store, entries decide how many jobs a second get through."""
-    board = _board(1, program=program)
-    accepted = _entries(board)
-    _end(board, 0)
-    assert [accepted, _entries(board)] == expected
+    cluster_state = _board(1, program=program)
+    accepted = _store_and_count_rows(cluster_state)
+    _end(cluster_state, 0)
+    assert [accepted, _store_and_count_rows(cluster_state)] == expected
 
 
 @pytest.mark.parametrize("program", ["p", "x" * 4000], ids=["small", "large"])
-def test_a_successor_reads_what_was_written(program: str) -> None:
+def test_successor_restores_written_rows(program: str) -> None:
     """Whether a job stands in one row or in two."""
-    board = _board(1, program=program)
+    cluster_state = _board(1, program=program)
     written = [
         Row(key=each.key, version=1, value=each.value)
-        for each in take_batch(board).puts
+        for each in take_batch(cluster_state).puts
     ]
-    successor = Board(time_of_day=lambda: 1000.0, now=lambda: 0.0)
+    successor = ClusterState(time_of_day=lambda: 1000.0, now=lambda: 0.0)
     stored = StoredRows(
         specs=tuple(row for row in written if row.key.startswith(rows.SPECS)),
         jobs=tuple(row for row in written if row.key.startswith(rows.JOBS)),
         inbox=(),
     )
     restore(successor, stored)
-    found, told = successor.jobs["0"], board.jobs["0"]
+    found, told = successor.jobs["0"], cluster_state.jobs["0"]
     assert (found.spec, found.queue) == (told.spec, told.queue)
     assert found.accepted_s == told.accepted_s
     assert found.spec_inline is told.spec_inline
     assert "0.0.0" in successor.waiting
 
 
-def test_a_small_job_of_an_earlier_version_leaves_no_row_behind() -> None:
+def test_legacy_spec_row_is_deleted_when_job_ends() -> None:
     """It stands in two rows; both its end and its changes must know that."""
-    board = _board(1)
-    job_row, spec_row = rows.job_put(board.jobs["0"]), rows.spec_put(board.jobs["0"])
+    cluster_state = _board(1)
+    job_row, spec_row = rows.job_put(cluster_state.jobs["0"]), rows.spec_put(
+        cluster_state.jobs["0"]
+    )
     bare = job_row.value[: job_row.value.index(",{")] + "]"
     old = StoredRows(
         specs=(Row(key=spec_row.key, version=1, value=spec_row.value),),
         jobs=(Row(key=job_row.key, version=1, value=bare),),
         inbox=(),
     )
-    successor = Board(time_of_day=lambda: 1000.0, now=lambda: 0.0)
+    successor = ClusterState(time_of_day=lambda: 1000.0, now=lambda: 0.0)
     successor.fleet.workers["w"] = FleetWorker(entry=entry("w", processors=10**9))
     restore(successor, old)
     take_batch(successor)
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -11,36 +11,38 @@
 
 import pytest
 
-from cranberrycleat.standins.fleet import Work
+from cranberrycleat.standins.fleet import SimulatedWork
 from cranberrycleat.workflow.spec import StepSpec
 from cranberrycleat.workflow.state import JobState
 from tests.cell import Cell, cell, job, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
-AFTER_S = 0.01
+CRASH_DELAY_S = 0.01
 """How long the tasks of the incident ran before their worker crashed."""
-MOST_STARTS = 5
+MAX_STARTS = 5
 """Three workers may crash under a task, and it may be started twice more."""
 
 
-def crash_on(made: Cell, task: str) -> None:
+def crash_on(env: Cell, task: str) -> None:
     """Have one task crash each worker that starts it."""
 
-    def work(name: str, attempt: int) -> Work:
-        return Work(crashes_after_s=AFTER_S if name == task else None)
+    def work(name: str, attempt: int) -> SimulatedWork:
+        return SimulatedWork(crashes_after_s=CRASH_DELAY_S if name == task else None)
 
-    made.fleet.work = work
+    env.fleet.work = work
 
 
-def starts_of(made: Cell, task: str) -> int:
+def starts_of(env: Cell, task: str) -> int:
     """Return how often a task was started."""
-    return sum(start.task == task for start in made.fleet.starts)
+    return sum(start.task == task for start in env.fleet.starts)
 
 
-def is_settled(made: Cell, shown: dict[str, JobState], job_id: str) -> bool:
+def has_failed_or_exceeded_starts(
+    env: Cell, reported: dict[str, JobState], job_id: str
+) -> bool:
     """Tell whether a job is failed, or has been tried too often."""
-    too_often = starts_of(made, f"{job_id}.0.0.0") > MOST_STARTS
-    return too_often or shown.get(job_id) is JobState.FAILED
+    too_often = starts_of(env, f"{job_id}.0.0.0") > MAX_STARTS
+    return too_often or reported.get(job_id) is JobState.FAILED
 
 
 @pytest.mark.parametrize("keeps", [False, True], ids=["a new identity", "the same"])
@@ -49,49 +51,49 @@
     [step(1), step(3), step(3, gang=True), step(1, service=True)],
     ids=["a single task", "one of several", "a member of a gang", "a service's"],
 )
-def test_a_task_that_crashes_its_workers_is_given_up(
-    spec: StepSpec, keeps: bool
-) -> None:
+def test_task_that_crashes_its_workers_is_failed(spec: StepSpec, keeps: bool) -> None:
     """Its workers come back as other incarnations, under some identity."""
 
     async def run() -> None:
-        async with cell(workers=6) as made:
-            made.fleet.keeps_identity = keeps
-            crash_on(made, "a.0.0.0")
-            owner = await made.own()
+        async with cell(workers=6) as env:
+            env.fleet.keeps_identity = keeps
+            crash_on(env, "a.0.0.0")
+            owner = await env.own()
             await submit(owner, "a", job(spec))
-            shown = owner.board.shown
-            await until(lambda: is_settled(made, shown, "a"), limit_s=20.0)
-            assert shown["a"] is JobState.FAILED
-            assert starts_of(made, "a.0.0.0") <= MOST_STARTS
+            reported = owner.cluster_state.reported
+            await until(
+                lambda: has_failed_or_exceeded_starts(env, reported, "a"), limit_s=20.0
+            )
+            assert reported["a"] is JobState.FAILED
+            assert starts_of(env, "a.0.0.0") <= MAX_STARTS
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("keeps", [False, True], ids=["a new identity", "the same"])
-def test_a_successor_knows_how_often_workers_were_lost(keeps: bool) -> None:
+def test_lost_workers_are_counted_across_takeovers(keeps: bool) -> None:
     """Each owner is killed as soon as it has seen one crash."""
 
     async def run() -> None:
-        async with cell(workers=6) as made:
-            made.fleet.keeps_identity = keeps
-            crash_on(made, "a.0.0.0")
-            owner = await made.own()
+        async with cell(workers=6) as env:
+            env.fleet.keeps_identity = keeps
+            crash_on(env, "a.0.0.0")
+            owner = await env.own()
             await submit(owner, "a", job(step(1)))
-            for number in range(MOST_STARTS + 2):
-                board = owner.board
-                begun = starts_of(made, "a.0.0.0")
+            for number in range(MAX_STARTS + 2):
+                cluster_state = owner.cluster_state
+                begun = starts_of(env, "a.0.0.0")
                 await until(
-                    lambda: starts_of(made, "a.0.0.0") > begun
-                    or board.shown.get("a") is JobState.FAILED,
+                    lambda: starts_of(env, "a.0.0.0") > begun
+                    or cluster_state.reported.get("a") is JobState.FAILED,
                     limit_s=20.0,
                 )
-                if board.shown.get("a") is JobState.FAILED:
+                if cluster_state.reported.get("a") is JobState.FAILED:
                     break
-                await made.close()
-                made.tasks.clear()
-                owner = await made.own(f"next-{number}")
-            assert starts_of(made, "a.0.0.0") <= MOST_STARTS
-            assert owner.board.shown["a"] is JobState.FAILED
+                await env.close()
+                env.tasks.clear()
+                owner = await env.own(f"next-{number}")
+            assert starts_of(env, "a.0.0.0") <= MAX_STARTS
+            assert owner.cluster_state.reported["a"] is JobState.FAILED
 
-    go(run())
+    run_async(run())
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -15,36 +15,38 @@
 
 from cranberrycleat import codec
 from cranberrycleat.audit import audit
-from cranberrycleat.caller import OUTCOME, CallNote, Told
+from cranberrycleat.caller import OUTCOME_HEADER, CallOutcome, CallResult
 from cranberrycleat.standins.worker import WorkerRecord
-from tests.processes import Fleet, Program, until
+from tests.processes import Fleet, ProgramProcess, wait_until
 from tests.relay import Relay
 
-LONG_LEASE_S: Final = 20.0
+LONG_WORKER_LEASE_S: Final = 20.0
 """The product's own default."""
-SHORT_LEASE_S: Final = 3.0
+SHORT_WORKER_LEASE_S: Final = 3.0
 """What `Fleet.scheduler` grants unless it is told otherwise."""
 
 
 @attrs.define(kw_only=True, eq=False)
-class World:
+class Cluster:
     """A platform, workers, schedulers and gateways as separate processes."""
 
     fleet: Fleet
-    platform: Program
-    workers: list[Program]
-    notes: list[CallNote] = attrs.field(factory=list)
+    platform: ProgramProcess
+    workers: list[ProgramProcess]
+    results: list[CallResult] = attrs.field(factory=list)
 
-    def get(self, program: Program, path: str) -> Any:
+    def get(self, program: ProgramProcess, path: str) -> Any:
         """Ask a program for something."""
         return httpx.get(program.url + path, trust_env=False, timeout=10).json()
 
-    def faults(self, program: Program, **faults: Any) -> None:
+    def faults(self, program: ProgramProcess, **faults: Any) -> None:
         """Set a stand-in's faults."""
         url = program.url + "/v1/faults"
         httpx.post(url, json=faults, trust_env=False, timeout=10)
 
-    def submit(self, scheduler: Program, name: str, **more: Any) -> httpx.Response:
+    def submit(
+        self, scheduler: ProgramProcess, name: str, **more: Any
+    ) -> httpx.Response:
         """Submit a job to a scheduler."""
         job = {
             "name": name,
@@ -56,43 +58,47 @@
         job.update(more)
         return httpx.post(url, json=job, trust_env=False, timeout=30)
 
-    def tasks(self, scheduler: Program, name: str) -> list[tuple[str, int, str]]:
+    def tasks(self, scheduler: ProgramProcess, name: str) -> list[tuple[str, int, str]]:
         """Return state, attempt and worker of a job's tasks."""
         found = self.get(scheduler, f"/v1/jobs/{name}")
         return [(t["state"], t["attempt"], t["worker"]) for t in found.get("tasks", ())]
 
-    def wait_placed(self, scheduler: Program, name: str) -> None:
+    def wait_placed(self, scheduler: ProgramProcess, name: str) -> None:
         """Wait until every task of a job has a place."""
-        until(
+        wait_until(
             lambda: {t[0] for t in self.tasks(scheduler, name)} == {"placed"},
-            what=f"{name} placed",
+            description=f"{name} placed",
         )
 
-    def wait_live(self, scheduler: Program, count: int) -> None:
+    def wait_live(self, scheduler: ProgramProcess, count: int) -> None:
         """Wait until a scheduler owns its shard and knows its workers."""
 
         def live() -> bool:
             found = self.get(scheduler, "/v1/workers")["workers"]
             return [w["state"] for w in found].count("live") == count
 
-        until(live, what=f"{count} live workers")
+        wait_until(live, description=f"{count} live workers")
 
-    def wait_endpoints(self, gateway: Program, service: str, count: int) -> None:
+    def wait_endpoints(self, gateway: ProgramProcess, service: str, count: int) -> None:
         """Wait until a gateway knows so many endpoints that are not leaving."""
 
         def known() -> bool:
             found = self.get(gateway, "/v1/dump")["services"].get(service, [])
             return [e["leaving"] for e in found].count(False) == count
 
-        until(known, what=f"{count} endpoints of {service}")
+        wait_until(known, description=f"{count} endpoints of {service}")
 
-    def owner(self, scheduler: Program) -> bool:
+    def owner(self, scheduler: ProgramProcess) -> bool:
         """Tell whether a scheduler owns the shard now."""
         return bool(self.get(scheduler, "/v1/status")["owner"])
 
     def call(
-        self, gateway: Program, path: str, method: str = "GET", key: str | None = None
-    ) -> CallNote:
+        self,
+        gateway: ProgramProcess,
+        path: str,
+        method: str = "GET",
+        key: str | None = None,
+    ) -> CallResult:
         """Call service `s`, and note what was told."""
         ident = secrets.token_hex(8)
         headers = {"x-request-id": ident} | ({"idempotency-key": key} if key else {})
@@ -105,34 +111,34 @@
                 trust_env=False,
                 timeout=30,
             )
-            told = Told(res.headers.get(OUTCOME, "unknown"))
+            reported_outcome = CallOutcome(res.headers.get(OUTCOME_HEADER, "unknown"))
             replayed = "idempotency-replayed" in res.headers
-            own = told is not Told.ANSWERED or replayed
-            own = own or res.text.startswith(ident)
+            response_matches = reported_outcome is not CallOutcome.ANSWERED or replayed
+            response_matches = response_matches or res.text.startswith(ident)
             status = res.status_code
             retry_after = "retry-after" in res.headers
         except httpx.HTTPError:
-            told, own, replayed, status, retry_after = (
-                Told.UNKNOWN,
+            reported_outcome, response_matches, replayed, status, retry_after = (
+                CallOutcome.UNKNOWN,
                 True,
                 False,
                 0,
                 True,
             )
-        note = CallNote(
+        note = CallResult(
             id=ident,
             key=key,
-            told=told,
-            own=own,
+            reported_outcome=reported_outcome,
+            response_matches=response_matches,
             replayed=replayed,
             status=status,
             took_s=0,
             retry_after=retry_after,
         )
-        self.notes.append(note)
+        self.results.append(note)
         return note
 
-    def record(self, worker: Program) -> WorkerRecord:
+    def record(self, worker: ProgramProcess) -> WorkerRecord:
         """Return a worker's own record."""
         raw = httpx.get(worker.url + "/v1/record", trust_env=False).content
         return codec.decode(raw, WorkerRecord)
@@ -140,277 +146,287 @@
     def audit(self) -> None:
         """Judge the run by the workers' own records."""
         records = [self.record(each) for each in self.workers]
-        assert audit(records, self.notes) == ()
+        assert audit(records, self.results) == ()
 
-    def ran(self, note: CallNote) -> int:
+    def ran(self, note: CallResult) -> int:
         """Return how often a request ran."""
         records = [self.record(each) for each in self.workers]
         return sum(log.id == note.id for r in records for log in r.requests)
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
+def cluster() -> Iterator[Cluster]:
     """A platform and two workers."""
     with Fleet() as fleet:
         platform = fleet.platform()
         workers = [fleet.worker(f"w{n}", platform) for n in (1, 2)]
-        yield World(fleet=fleet, platform=platform, workers=workers)
+        yield Cluster(fleet=fleet, platform=platform, workers=workers)
 
 
-def test_frozen_owner_wakes_after_its_lease(world: World) -> None:
+def test_frozen_owner_resumes_after_lease_expiry(cluster: Cluster) -> None:
     """The successor goes on; the one that wakes gives no order any more."""
-    first = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(first, 2)
-    world.submit(first, "s", tasks=2)
-    world.wait_placed(first, "s")
-    second = world.fleet.scheduler("s2", world.platform)
-    first.freeze()
-    until(lambda: world.owner(second), what="a takeover")
-    world.submit(second, "more", kind="batch", tasks=4, program={"run_s": 0.3})
-    until(
-        lambda: {t[0] for t in world.tasks(second, "more")} == {"done"},
-        what="the work of the second owner",
+    first = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(first, 2)
+    cluster.submit(first, "s", tasks=2)
+    cluster.wait_placed(first, "s")
+    second = cluster.fleet.scheduler("s2", cluster.platform)
+    first.suspend()
+    wait_until(lambda: cluster.owner(second), description="a takeover")
+    cluster.submit(second, "more", kind="batch", tasks=4, program={"run_s": 0.3})
+    wait_until(
+        lambda: {t[0] for t in cluster.tasks(second, "more")} == {"done"},
+        description="the work of the second owner",
     )
-    first.wake()
+    first.resume()
     time.sleep(1.0)
-    assert not world.owner(first) and world.owner(second)
-    assert [t[:2] for t in world.tasks(second, "s")] == [("placed", 1)] * 2
-    world.audit()
+    assert not cluster.owner(first) and cluster.owner(second)
+    assert [t[:2] for t in cluster.tasks(second, "s")] == [("placed", 1)] * 2
+    cluster.audit()
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 3.5], ids=["at once", "late"])
-def test_killed_owner_is_followed(world: World, pause_s: float) -> None:
+def test_killed_owner_is_replaced(cluster: Cluster, pause_s: float) -> None:
     """A new owner adopts what runs, without stopping or moving it.
 
     Its process has to start first, which took 1.4 s up to the takeover on an idle
     machine and longer than `SHORT_LEASE_S` on a busy one; so the leases are long.
     """
-    lease = ("--worker-lease-s", str(LONG_LEASE_S))
-    first = world.fleet.scheduler("s1", world.platform, *lease)
-    world.wait_live(first, 2)
-    world.submit(first, "s", tasks=2)
-    world.wait_placed(first, "s")
-    gateway = world.fleet.gateway("g1", world.platform, first)
-    world.wait_endpoints(gateway, "s", 2)
+    lease = ("--worker-lease-s", str(LONG_WORKER_LEASE_S))
+    first = cluster.fleet.scheduler("s1", cluster.platform, *lease)
+    cluster.wait_live(first, 2)
+    cluster.submit(first, "s", tasks=2)
+    cluster.wait_placed(first, "s")
+    gateway = cluster.fleet.gateway("g1", cluster.platform, first)
+    cluster.wait_endpoints(gateway, "s", 2)
     first.kill()
     time.sleep(pause_s)
-    second = world.fleet.scheduler("s2", world.platform, *lease)
-    until(lambda: world.owner(second), what="a takeover")
-    world.wait_live(second, 2)
+    second = cluster.fleet.scheduler("s2", cluster.platform, *lease)
+    wait_until(lambda: cluster.owner(second), description="a takeover")
+    cluster.wait_live(second, 2)
     time.sleep(2.0)
-    assert [t[:2] for t in world.tasks(second, "s")] == [("placed", 1)] * 2
-    assert world.call(gateway, "x").told is Told.ANSWERED
-    world.audit()
+    assert [t[:2] for t in cluster.tasks(second, "s")] == [("placed", 1)] * 2
+    assert cluster.call(gateway, "x").reported_outcome is CallOutcome.ANSWERED
+    cluster.audit()
 
 
-def test_an_owner_that_follows_after_the_leases_places_again(world: World) -> None:
+def test_owner_after_lease_expiry_places_tasks_again(cluster: Cluster) -> None:
     """What nobody renewed is over; it starts anew, in one place at a time."""
-    first = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(first, 2)
-    world.submit(first, "s", tasks=2)
-    world.wait_placed(first, "s")
+    first = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(first, 2)
+    cluster.submit(first, "s", tasks=2)
+    cluster.wait_placed(first, "s")
     first.kill()
-    time.sleep(SHORT_LEASE_S + 0.5)
-    second = world.fleet.scheduler("s2", world.platform)
-    until(lambda: world.owner(second), what="a takeover")
-    world.wait_live(second, 2)
-    world.wait_placed(second, "s")
-    assert [t[:2] for t in world.tasks(second, "s")] == [("placed", 2)] * 2
-    gateway = world.fleet.gateway("g1", world.platform, second)
-    world.wait_endpoints(gateway, "s", 2)
-    assert world.call(gateway, "x").told is Told.ANSWERED
-    world.audit()
-
-
-def test_frozen_worker_wakes_after_its_lease(world: World) -> None:
+    time.sleep(SHORT_WORKER_LEASE_S + 0.5)
+    second = cluster.fleet.scheduler("s2", cluster.platform)
+    wait_until(lambda: cluster.owner(second), description="a takeover")
+    cluster.wait_live(second, 2)
+    cluster.wait_placed(second, "s")
+    assert [t[:2] for t in cluster.tasks(second, "s")] == [("placed", 2)] * 2
+    gateway = cluster.fleet.gateway("g1", cluster.platform, second)
+    cluster.wait_endpoints(gateway, "s", 2)
+    assert cluster.call(gateway, "x").reported_outcome is CallOutcome.ANSWERED
+    cluster.audit()
+
+
+def test_frozen_worker_resumes_after_lease_expiry(cluster: Cluster) -> None:
     """Its tasks are placed elsewhere, and it runs none of them when it wakes."""
-    scheduler = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(scheduler, 2)
-    world.submit(scheduler, "s", tasks=2, slots=4)
-    world.wait_placed(scheduler, "s")
-    world.workers[0].freeze()
-    until(
-        lambda: {t[2] for t in world.tasks(scheduler, "s")} == {"w2"},
-        what="both tasks on the other worker",
+    scheduler = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(scheduler, 2)
+    cluster.submit(scheduler, "s", tasks=2, slots=4)
+    cluster.wait_placed(scheduler, "s")
+    cluster.workers[0].suspend()
+    wait_until(
+        lambda: {t[2] for t in cluster.tasks(scheduler, "s")} == {"w2"},
+        description="both tasks on the other worker",
     )
-    world.workers[0].wake()
-    world.wait_live(scheduler, 2)
-    world.audit()
+    cluster.workers[0].resume()
+    cluster.wait_live(scheduler, 2)
+    cluster.audit()
 
 
-def test_platform_outage(world: World) -> None:
+def test_platform_outage(cluster: Cluster) -> None:
     """What runs goes on and is served; what needs the table is refused at once."""
-    scheduler = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(scheduler, 2)
-    world.submit(scheduler, "s", tasks=2)
-    gateway = world.fleet.gateway("g1", world.platform, scheduler)
-    world.wait_endpoints(gateway, "s", 2)
+    scheduler = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(scheduler, 2)
+    cluster.submit(scheduler, "s", tasks=2)
+    gateway = cluster.fleet.gateway("g1", cluster.platform, scheduler)
+    cluster.wait_endpoints(gateway, "s", 2)
     document = codec.encode_text({"routing": {"queue_s": 0.25}})
     change = {"made_from": 0, "document": document}
     httpx.post(scheduler.url + "/v1/config", json=change, trust_env=False)
-    world.faults(world.platform, down=True)
+    cluster.faults(cluster.platform, down=True)
     time.sleep(4.0)
-    late = world.fleet.gateway("g2", world.platform, scheduler, gateway)
-    world.wait_endpoints(late, "s", 2)
-    until(
-        lambda: world.get(late, "/v1/dump")["config"] is not None,
-        what="the configuration, from a peer",
+    late = cluster.fleet.gateway("g2", cluster.platform, scheduler, gateway)
+    cluster.wait_endpoints(late, "s", 2)
+    wait_until(
+        lambda: cluster.get(late, "/v1/dump")["config"] is not None,
+        description="the configuration, from a peer",
     )
     for each in (gateway, late):
-        assert world.call(each, "x").told is Told.ANSWERED
-        assert world.call(each, "book", "POST", key="k1").told is Told.NOT_RUN
-    refused = world.submit(scheduler, "other")
+        assert cluster.call(each, "x").reported_outcome is CallOutcome.ANSWERED
+        assert (
+            cluster.call(each, "book", "POST", key="k1").reported_outcome
+            is CallOutcome.NOT_RUN
+        )
+    refused = cluster.submit(scheduler, "other")
     assert (refused.status_code, refused.json()["title"]) == (503, "not-accepted")
     assert "retry-after" in refused.headers
-    world.faults(world.platform, down=False)
-    until(lambda: world.owner(scheduler), what="the lease renewed")
-    until(
-        lambda: world.call(late, "book", "POST", key="k1").told is Told.ANSWERED,
-        what="the keyed request answered, once its caller came back",
+    cluster.faults(cluster.platform, down=False)
+    wait_until(lambda: cluster.owner(scheduler), description="the lease renewed")
+    wait_until(
+        lambda: cluster.call(late, "book", "POST", key="k1").reported_outcome
+        is CallOutcome.ANSWERED,
+        description="the keyed request answered, once its caller came back",
     )
-    assert [t[:2] for t in world.tasks(scheduler, "s")] == [("placed", 1)] * 2
-    assert world.submit(scheduler, "other").status_code == 201
-    world.audit()
+    assert [t[:2] for t in cluster.tasks(scheduler, "s")] == [("placed", 1)] * 2
+    assert cluster.submit(scheduler, "other").status_code == 201
+    cluster.audit()
 
 
 @pytest.mark.parametrize("lost", [1, 2, 5])
-def test_lost_replies(world: World, lost: int) -> None:
+def test_lost_replies(cluster: Cluster, lost: int) -> None:
     """Writes that took effect unanswered are neither lost nor done twice."""
-    scheduler = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(scheduler, 2)
-    world.faults(world.platform, lose_replies=lost)
-    answer = world.submit(scheduler, "s", kind="batch", tasks=3, program={"run_s": 0.3})
+    scheduler = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(scheduler, 2)
+    cluster.faults(cluster.platform, lose_replies=lost)
+    answer = cluster.submit(
+        scheduler, "s", kind="batch", tasks=3, program={"run_s": 0.3}
+    )
     assert answer.status_code in (201, 504)
-    until(
-        lambda: {t[0] for t in world.tasks(scheduler, "s")} == {"done"},
-        what="the job done",
+    wait_until(
+        lambda: {t[0] for t in cluster.tasks(scheduler, "s")} == {"done"},
+        description="the job done",
     )
-    assert {t[1] for t in world.tasks(scheduler, "s")} == {1}
-    world.audit()
+    assert {t[1] for t in cluster.tasks(scheduler, "s")} == {1}
+    cluster.audit()
 
 
-def test_owner_cut_off_from_the_platform(world: World) -> None:
+def test_owner_partitioned_from_platform(cluster: Cluster) -> None:
     """The successor fences off the one that is cut off and still alive."""
-    port = int(world.platform.url.rsplit(":", 1)[1])
+    port = int(cluster.platform.url.rsplit(":", 1)[1])
     relay = Relay(target=("127.0.0.1", port))
-    first = world.fleet.scheduler("s1", world.platform, "--platform", relay.url)
-    world.wait_live(first, 2)
-    world.submit(first, "s", tasks=2)
-    world.wait_placed(first, "s")
-    second = world.fleet.scheduler("s2", world.platform)
-    relay.sever()
-    until(lambda: world.owner(second), what="a takeover")
-    world.wait_live(second, 2)
-    world.submit(second, "more", kind="batch", tasks=4, program={"run_s": 0.3})
-    until(
-        lambda: {t[0] for t in world.tasks(second, "more")} == {"done"},
-        what="the work of the second owner",
+    first = cluster.fleet.scheduler("s1", cluster.platform, "--platform", relay.url)
+    cluster.wait_live(first, 2)
+    cluster.submit(first, "s", tasks=2)
+    cluster.wait_placed(first, "s")
+    second = cluster.fleet.scheduler("s2", cluster.platform)
+    relay.cut_connections()
+    wait_until(lambda: cluster.owner(second), description="a takeover")
+    cluster.wait_live(second, 2)
+    cluster.submit(second, "more", kind="batch", tasks=4, program={"run_s": 0.3})
+    wait_until(
+        lambda: {t[0] for t in cluster.tasks(second, "more")} == {"done"},
+        description="the work of the second owner",
     )
-    relay.mend()
+    relay.restore()
     time.sleep(1.0)
-    assert not world.owner(first)
-    assert [t[:2] for t in world.tasks(second, "s")] == [("placed", 1)] * 2
-    world.audit()
+    assert not cluster.owner(first)
+    assert [t[:2] for t in cluster.tasks(second, "s")] == [("placed", 1)] * 2
+    cluster.audit()
 
 
-def test_outage_and_frozen_owner_together(world: World) -> None:
+def test_outage_and_frozen_owner_together(cluster: Cluster) -> None:
     """Two faults at once: nobody takes over what cannot be known to be free."""
-    first = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(first, 2)
-    world.submit(first, "s", tasks=2)
-    world.wait_placed(first, "s")
-    second = world.fleet.scheduler("s2", world.platform)
-    world.faults(world.platform, down=True)
-    first.freeze()
+    first = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(first, 2)
+    cluster.submit(first, "s", tasks=2)
+    cluster.wait_placed(first, "s")
+    second = cluster.fleet.scheduler("s2", cluster.platform)
+    cluster.faults(cluster.platform, down=True)
+    first.suspend()
     time.sleep(4.0)
-    assert not world.owner(second)
-    world.faults(world.platform, down=False)
-    until(lambda: world.owner(second), what="a takeover")
-    first.wake()
-    until(
-        lambda: {t[0] for t in world.tasks(second, "s")} == {"placed"},
-        what="the tasks placed again",
+    assert not cluster.owner(second)
+    cluster.faults(cluster.platform, down=False)
+    wait_until(lambda: cluster.owner(second), description="a takeover")
+    first.resume()
+    wait_until(
+        lambda: {t[0] for t in cluster.tasks(second, "s")} == {"placed"},
+        description="the tasks placed again",
     )
     time.sleep(1.0)
-    assert not world.owner(first)
-    world.audit()
+    assert not cluster.owner(first)
+    cluster.audit()
 
 
-def test_gateway_dies_with_a_claimed_request(world: World) -> None:
+def test_gateway_dies_with_a_claimed_request(cluster: Cluster) -> None:
     """A repeat through another gateway does not run the request again."""
-    scheduler = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(scheduler, 2)
-    world.submit(scheduler, "s", tasks=2)
-    gateways = [world.fleet.gateway(f"g{n}", world.platform, scheduler) for n in (1, 2)]
+    scheduler = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(scheduler, 2)
+    cluster.submit(scheduler, "s", tasks=2)
+    gateways = [
+        cluster.fleet.gateway(f"g{n}", cluster.platform, scheduler) for n in (1, 2)
+    ]
     for each in gateways:
-        world.wait_endpoints(each, "s", 2)
+        cluster.wait_endpoints(each, "s", 2)
     asked = threading.Thread(
-        target=world.call, args=(gateways[0], "book?ms=1500", "POST", "k1")
+        target=cluster.call, args=(gateways[0], "book?ms=1500", "POST", "k1")
     )
     asked.start()
     time.sleep(0.7)
     gateways[0].kill()
     asked.join()
-    again = [world.call(gateways[1], "book?ms=1500", "POST", "k1") for _ in range(3)]
-    assert {note.told for note in again} == {Told.UNKNOWN}
-    assert [world.ran(note) for note in world.notes] == [1, 0, 0, 0]
-    world.audit()
+    again = [cluster.call(gateways[1], "book?ms=1500", "POST", "k1") for _ in range(3)]
+    assert {note.reported_outcome for note in again} == {CallOutcome.UNKNOWN}
+    assert [cluster.ran(note) for note in cluster.results] == [1, 0, 0, 0]
+    cluster.audit()
 
 
 @pytest.mark.parametrize("part", ["gateway", "worker", "scheduler"])
-def test_graceful_shutdown(world: World, part: str) -> None:
+def test_graceful_shutdown(cluster: Cluster, part: str) -> None:
     """No request in flight is interrupted, whichever part shuts down."""
-    scheduler = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(scheduler, 2)
-    world.submit(scheduler, "s", tasks=2)
-    gateway = world.fleet.gateway("g1", world.platform, scheduler)
-    world.wait_endpoints(gateway, "s", 2)
+    scheduler = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(scheduler, 2)
+    cluster.submit(scheduler, "s", tasks=2)
+    gateway = cluster.fleet.gateway("g1", cluster.platform, scheduler)
+    cluster.wait_endpoints(gateway, "s", 2)
     asked = [
-        threading.Thread(target=world.call, args=(gateway, "x?ms=1500", "POST"))
+        threading.Thread(target=cluster.call, args=(gateway, "x?ms=1500", "POST"))
         for _ in range(4)
     ]
     for each in asked:
         each.start()
     time.sleep(0.7)
-    leaver = {"gateway": gateway, "worker": world.workers[0], "scheduler": scheduler}
+    leaver = {"gateway": gateway, "worker": cluster.workers[0], "scheduler": scheduler}
     assert leaver[part].terminate() == 0
     for each in asked:
         each.join()
-    assert [note.told for note in world.notes] == [Told.ANSWERED] * 4
+    assert [note.reported_outcome for note in cluster.results] == [
+        CallOutcome.ANSWERED
+    ] * 4
 
 
-def test_leaving_worker(world: World) -> None:
+def test_leaving_worker(cluster: Cluster) -> None:
     """Its endpoints get no new work, from its own word and without the list."""
-    scheduler = world.fleet.scheduler("s1", world.platform)
-    world.wait_live(scheduler, 2)
-    world.submit(scheduler, "s", tasks=2, slots=4)
-    gateway = world.fleet.gateway("g1", world.platform, scheduler)
-    world.wait_endpoints(gateway, "s", 2)
-    world.faults(world.workers[0], leaving=True)
-    until(
-        lambda: {t[2] for t in world.tasks(scheduler, "s")} == {"w2"},
-        what="both tasks on the other worker",
+    scheduler = cluster.fleet.scheduler("s1", cluster.platform)
+    cluster.wait_live(scheduler, 2)
+    cluster.submit(scheduler, "s", tasks=2, slots=4)
+    gateway = cluster.fleet.gateway("g1", cluster.platform, scheduler)
+    cluster.wait_endpoints(gateway, "s", 2)
+    cluster.faults(cluster.workers[0], leaving=True)
+    wait_until(
+        lambda: {t[2] for t in cluster.tasks(scheduler, "s")} == {"w2"},
+        description="both tasks on the other worker",
     )
-    before = len(world.record(world.workers[0]).requests)
-    world.wait_endpoints(gateway, "s", 2)
+    before = len(cluster.record(cluster.workers[0]).requests)
+    cluster.wait_endpoints(gateway, "s", 2)
     for _ in range(10):
-        assert world.call(gateway, "x").told is Told.ANSWERED
-    assert len(world.record(world.workers[0]).requests) == before
-    world.audit()
+        assert cluster.call(gateway, "x").reported_outcome is CallOutcome.ANSWERED
+    assert len(cluster.record(cluster.workers[0]).requests) == before
+    cluster.audit()
 
 
-def test_a_hangup_ends_no_process() -> None:
+def test_sighup_terminates_no_process() -> None:
     """SIGHUP says that settings may have changed; its default would be the end."""
     with Fleet() as fleet:
         platform = fleet.platform()
         scheduler = fleet.scheduler("s1", platform)
         for program in (platform, scheduler):
-            program.hang_up()
-        until(
+            program.send_sighup()
+        wait_until(
             lambda: httpx.get(
                 scheduler.url + "/v1/dump", trust_env=False, timeout=5
             ).is_success,
-            what="an answer after the hangup",
+            description="an answer after the hangup",
         )
         assert platform.process.poll() is None
         assert scheduler.process.poll() is None
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,22 +7,27 @@
 import pytest
 
 from cranberrycleat import errors, plugins
-from cranberrycleat.admission import Gate, RequestClass
+from cranberrycleat.admission import AdmissionController, RequestClass
 from cranberrycleat.clock import ManualClock
 from cranberrycleat.config import RoutingConfig
-from cranberrycleat.endpoints import EndpointState, ServiceEndpoints, Verdict, judge
+from cranberrycleat.endpoints import (
+    EndpointResult,
+    EndpointState,
+    ServiceEndpoints,
+    record_result,
+)
 from cranberrycleat.forward import CallerRequest
 from cranberrycleat.gateway import Gateway
 from cranberrycleat.gateway_api import gateway_handlers
 from cranberrycleat.messages import Digest, DigestReply, Endpoint, EndpointSet
 from cranberrycleat.options import GatewayOptions
-from cranberrycleat.retry import BURST, RetryBudget
-from cranberrycleat.slots import SlotShare, share_of
-from tests.fakes import MemoryPlatform, ScriptedEndpoint, go
+from cranberrycleat.retry import MAX_SAVED_RETRIES, RetryBudget
+from cranberrycleat.slots import SlotShare, slot_share
+from tests.fakes import MemoryPlatform, ScriptedEndpoint, run_async
 
 assert plugins
 
-HANGS_S = 20.0
+HANG_TIMEOUT_S = 20.0
 """What takes longer than this hangs; nothing is measured by it."""
 
 
@@ -63,7 +68,7 @@
     )
 
 
-async def ask(
+async def send_request(
     gateway: Gateway,
     method: str = "GET",
     ident: str = "r1",
@@ -89,16 +94,16 @@
 ) -> None:
     """Run something against a gateway with scripted endpoints."""
 
-    async def whole() -> None:
+    async def scenario() -> None:
         points = [await ScriptedEndpoint(script=each).start() for each in scripts]
         gateway = make_gateway()
-        gateway.book.learn(endpoint_set(*[point.url for point in points]))
+        gateway.catalog.merge_set(endpoint_set(*[point.url for point in points]))
         await work(gateway, points)
         await gateway.forwarder.close()
         for point in points:
             await point.stop()
 
-    go(whole())
+    run_async(scenario())
 
 
 CASES = [
@@ -123,18 +128,21 @@
     """What is told is what is known; only what did not run is sent again."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
-        assert await ask(gateway, method) == told
+        assert await send_request(gateway, method) == told
         assert sum(len(point.seen) for point in points) == sent
 
     with_endpoints([first, second], work)
 
 
-def test_nobody_listens() -> None:
+def test_refused_connection_proves_not_run() -> None:
     """A connection that was never made is proof that nothing ran."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         await points[0].stop()
-        assert await ask(gateway, "POST") in (errors.NOT_RUN, errors.OVERLOADED)
+        assert await send_request(gateway, "POST") in (
+            errors.NOT_RUN,
+            errors.OVERLOADED,
+        )
 
     with_endpoints([["ok"]], work)
 
@@ -144,39 +152,42 @@
     """An idle connection's close costs no request its certain outcome."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
-        assert await ask(gateway, "GET", "first") == "ok"
+        assert await send_request(gateway, "GET", "first") == "ok"
         points[0].script[:] = ["close", "ok"] if method == "GET" else ["ok"]
-        assert await ask(gateway, method, "second") == "ok"
+        assert await send_request(gateway, method, "second") == "ok"
 
     with_endpoints([["ok"], ["ok"]], work)
 
 
-def test_late_answer_reaches_nobody_else() -> None:
+def test_late_answer_is_not_delivered_to_next_caller() -> None:
     """An answer that comes after its caller gave up is not the next caller's."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
-        assert await ask(gateway, "GET", "one", wait_s=0.1) == errors.OUTCOME_UNKNOWN
+        assert (
+            await send_request(gateway, "GET", "one", wait_s=0.1)
+            == errors.OUTCOME_UNKNOWN
+        )
         points[0].script[:] = ["ok"]
         await asyncio.sleep(0.6)
-        found = [await ask(gateway, "GET", f"two{n}") for n in range(3)]
+        found = [await send_request(gateway, "GET", f"two{n}") for n in range(3)]
         assert found == ["ok"] * 3
 
     with_endpoints([["slow"]], work)
 
 
-def test_caller_that_has_gone() -> None:
+def test_caller_disconnect_frees_its_slot() -> None:
     """A caller that goes away frees its slot, and its answer reaches nobody."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
-        gone = asyncio.create_task(ask(gateway, "GET", "gone", wait_s=5))
+        gone = asyncio.create_task(send_request(gateway, "GET", "gone", wait_s=5))
         await asyncio.sleep(0.1)
         gone.cancel()
         await asyncio.wait([gone])
-        state = gateway.book.services["s"].all()[0]
+        state = gateway.catalog.services["s"].all()[0]
         assert state.share.in_flight == 0
         points[0].script[:] = ["ok"]
         await asyncio.sleep(0.5)
-        assert await ask(gateway, "GET", "next") == "ok"
+        assert await send_request(gateway, "GET", "next") == "ok"
 
     with_endpoints([["slow"]], work)
 
@@ -185,7 +196,7 @@
     """Answers that overtake each other reach their own callers."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
-        asked = [ask(gateway, "GET", f"id{n}", wait_s=9) for n in range(16)]
+        asked = [send_request(gateway, "GET", f"id{n}", wait_s=9) for n in range(16)]
         assert await asyncio.gather(*asked) == ["ok"] * 16
 
     with_endpoints([["slow", "ok", "slow", "ok"], ["ok"]], work)
@@ -196,9 +207,9 @@
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         other = make_gateway("g2")
-        other.book.learn(endpoint_set(points[0].url))
+        other.catalog.merge_set(endpoint_set(points[0].url))
         other.claims.writer.table = gateway.claims.writer.table
-        asked = [ask(each, "POST", key="k") for each in (gateway, other) * 3]
+        asked = [send_request(each, "POST", key="k") for each in (gateway, other) * 3]
         told = await asyncio.gather(*asked)
         assert len(points[0].seen) == 1
         assert told.count("ok") <= 1
@@ -212,48 +223,50 @@
     ("down", "lose", "told", "sent"),
     [(True, 0, errors.NOT_RUN, 0), (False, 1, "ok", 1), (False, 2, "ok", 1)],
 )
-def test_key_in_an_outage(down: bool, lose: int, told: str, sent: int) -> None:
+def test_idempotency_key_during_table_outage(
+    down: bool, lose: int, told: str, sent: int
+) -> None:
     """No table, no claim, not run; a claim whose reply was lost is settled."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         table = gateway.platform
         assert isinstance(table, MemoryPlatform)
         table.faults.down, table.faults.lose_replies = down, lose
-        assert await ask(gateway, "POST", key="k") == told
+        assert await send_request(gateway, "POST", key="k") == told
         assert len(points[0].seen) == sent
 
     with_endpoints([["ok"]], work)
 
 
-def test_key_while_the_table_hangs() -> None:
+def test_claim_wait_is_bounded_when_table_hangs() -> None:
     """The wait for a claim is bounded, and nothing is sent without one."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         table = gateway.platform
         assert isinstance(table, MemoryPlatform)
         table.faults.slow_s = 300.0
-        asked = ask(gateway, "POST", key="k", wait_s=0.1)
-        assert await asyncio.wait_for(asked, HANGS_S) == errors.NOT_RUN
+        asked = send_request(gateway, "POST", key="k", wait_s=0.1)
+        assert await asyncio.wait_for(asked, HANG_TIMEOUT_S) == errors.NOT_RUN
         assert points[0].seen == []
 
     with_endpoints([["ok"]], work)
 
 
 @pytest.mark.parametrize("source", ["answer", "peer", "scheduler"])
-def test_leaving_endpoint_gets_no_new_work(source: str) -> None:
+def test_leaving_endpoint_gets_no_new_requests(source: str) -> None:
     """The first sign from any source is enough, and no older set undoes it."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         first, second = points
         if source == "answer":
-            await ask(gateway)
-            await ask(gateway)
+            await send_request(gateway)
+            await send_request(gateway)
         elif source == "peer":
-            gateway.hear(DigestReply(digest=peer_digest(first.url)))
+            gateway.apply_reply(DigestReply(digest=peer_digest(first.url)))
         else:
             left = endpoint_set(first.url, second.url, revision=2).endpoints
             gone = attrs.evolve(left[0], leaving=True)
-            gateway.book.learn(
+            gateway.catalog.merge_set(
                 EndpointSet(
                     data_centre="dc-a",
                     epoch=1,
@@ -261,11 +274,11 @@
                     endpoints=(gone, left[1]),
                 )
             )
-        gateway.book.learn(endpoint_set(first.url, second.url, revision=1))
-        gateway.book.learn(endpoint_set(first.url, second.url, revision=3))
+        gateway.catalog.merge_set(endpoint_set(first.url, second.url, revision=1))
+        gateway.catalog.merge_set(endpoint_set(first.url, second.url, revision=3))
         before = len(first.seen)
         for _ in range(6):
-            assert await ask(gateway) == "ok"
+            assert await send_request(gateway) == "ok"
         assert len(first.seen) == before
         assert first.url in gateway.digest().leaving
 
@@ -287,10 +300,10 @@
 def test_retry_budget_bounds_retries() -> None:
     """When everything fails, retries are a share of answers and a small burst."""
     budget = RetryBudget(share=0.1)
-    assert sum(budget.spend() for _ in range(1000)) == BURST
+    assert sum(budget.withdraw() for _ in range(1000)) == MAX_SAVED_RETRIES
     for _ in range(100):
-        budget.earn()
-    assert sum(budget.spend() for _ in range(1000)) in (9, 10)
+        budget.deposit()
+    assert sum(budget.withdraw() for _ in range(1000)) in (9, 10)
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 3, 5, 7, 8])
@@ -299,12 +312,15 @@
     members = tuple(f"g{n}" for n in range(gateways))
     for point in ("a", "b", "c"):
         shares = [
-            share_of(slots=8, members=members, me=me, endpoint=point) for me in members
+            slot_share(
+                slots=8, members=members, gateway_name=gateway_name, endpoint=point
+            )
+            for gateway_name in members
         ]
         assert sum(shares) == 8
 
 
-def test_share_learns_from_refusals() -> None:
+def test_share_adapts_to_refusals() -> None:
     """Refusals lower what is allowed, answers raise it up to the share."""
     share = SlotShare(share=4)
     for _ in range(9):
@@ -319,41 +335,41 @@
     """Return a service with some endpoints."""
     listed = endpoint_set(*[f"http://127.0.0.1:{n}" for n in range(count)]).endpoints
     return ServiceEndpoints(
-        near=[EndpointState(endpoint=e, share=SlotShare(share=4)) for e in listed]
+        local=[EndpointState(endpoint=e, share=SlotShare(share=4)) for e in listed]
     )
 
 
 @pytest.mark.parametrize(("count", "left"), [(1, 1), (2, 1), (4, 2), (5, 3)])
-def test_ejection_has_a_floor(count: int, left: int) -> None:
+def test_ejection_keeps_some_endpoints(count: int, left: int) -> None:
     """However all endpoints fail, some go on getting work."""
     service, cfg = service_of(count), RoutingConfig()
     for state in service.all() * 10:
-        judge(service, state, Verdict.BAD, now=1.0, cfg=cfg)
+        record_result(service, state, EndpointResult.BAD, now=1.0, cfg=cfg)
     assert sum(state.usable(2.0) for state in service.all()) == left
     assert all(state.usable(1.0 + cfg.eject_s) for state in service.all())
 
 
 @attrs.define
-class Waiting:
+class BusyController:
     """A gate with one slot that is taken, and requests that came after."""
 
     service: ServiceEndpoints
-    gate: Gate
+    controller: AdmissionController
     order: list[str] = attrs.field(factory=list)
 
-    async def enter(self, name: str, rank: RequestClass, wait_s: float) -> None:
+    async def acquire_slot(self, name: str, rank: RequestClass, wait_s: float) -> None:
         """Go in, note it, and leave."""
-        state = await self.gate.enter(
+        state = await self.controller.acquire_slot(
             service=self.service,
             rank=rank,
             tried=frozenset(),
             wait_s=wait_s,
         )
         self.order.append(name)
-        self.gate.leave(state)
+        self.controller.release_slot(state)
 
 
-def make_waiting(most: int) -> Waiting:
+def make_busy_controller(max_waiters: int) -> BusyController:
     """Return a gate whose only slot is taken."""
     service, clock = service_of(1), ManualClock()
     state = service.all()[0]
@@ -363,7 +379,9 @@
     def pick(tried: frozenset[str]) -> EndpointState | None:
         return state if state.usable(clock.now()) else None
 
-    return Waiting(service, Gate(pick=pick, most=most, clock=clock))
+    return BusyController(
+        service, AdmissionController(pick=pick, max_waiters=max_waiters, clock=clock)
+    )
 
 
 @pytest.mark.parametrize(
@@ -379,33 +397,33 @@
 def test_admission_by_class(most: int, arrivals: str, expected: str) -> None:
     """The highest class goes first; a full queue refuses the lowest at once."""
 
-    async def whole() -> list[str]:
-        waiting = make_waiting(most)
+    async def scenario() -> list[str]:
+        waiting = make_busy_controller(most)
         tasks = []
         for name in arrivals.split():
             rank = RequestClass[name.upper()]
-            tasks.append(asyncio.create_task(waiting.enter(name, rank, 9.0)))
+            tasks.append(asyncio.create_task(waiting.acquire_slot(name, rank, 9.0)))
             await asyncio.sleep(0)
-        waiting.gate.leave(waiting.service.all()[0])
+        waiting.controller.release_slot(waiting.service.all()[0])
         done = await asyncio.gather(*tasks, return_exceptions=True)
         refused = [each for each in done if isinstance(each, errors.ProblemError)]
         assert all(each.retry_after_s for each in refused)
         return waiting.order + ["refused"] * len(refused)
 
-    assert go(whole()) == expected.split()
+    assert run_async(scenario()) == expected.split()
 
 
-def test_no_waiting_for_what_comes_too_late() -> None:
+def test_request_that_would_miss_its_deadline_is_refused_immediately() -> None:
     """A request that could not be served in time is refused at once."""
 
-    async def whole() -> None:
-        waiting = make_waiting(9)
+    async def scenario() -> None:
+        waiting = make_busy_controller(9)
         waiting.service.took_s = 5.0
-        asked = asyncio.create_task(waiting.enter("x", RequestClass.URGENT, 1.0))
+        asked = asyncio.create_task(waiting.acquire_slot("x", RequestClass.URGENT, 1.0))
         await asyncio.sleep(0)
         assert asked.done(), "held back"
         exc = asked.exception()
         assert isinstance(exc, errors.ProblemError) and exc.retry_after_s == 5.0
-        assert waiting.gate.waiting() == 0
+        assert waiting.controller.waiting() == 0
 
-    go(whole())
+    run_async(scenario())
--- a/tests/test_door.py
+++ b/tests/test_job_frontend.py
@@ -7,11 +7,11 @@
 
 from cranberrycleat import errors
 from cranberrycleat.table import Row
-from cranberrycleat.workflow.door import DoorStatus
+from cranberrycleat.workflow.job_frontend import RequestStatus
 from cranberrycleat.workflow.owner import Owner
-from cranberrycleat.workflow.peering import JobAnswer, SubmitReply, SubmitRequest
+from cranberrycleat.workflow.peering import JobReply, SubmitReply, SubmitRequest
 from tests.cell import Cell, cell, job, queue, step, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 
 def state(owner: Owner, job_id: str) -> str:
@@ -23,70 +23,72 @@
     made.table.faults.lose_replies = 1
 
 
-async def _slow(made: Cell) -> None:
+async def _slow_table(made: Cell) -> None:
     made.table.faults.slow_s = 0.3
 
 
-@pytest.mark.parametrize("fault", [_lost_reply, _slow])
-def test_a_door_settles_what_it_can(fault) -> None:  # type: ignore[no-untyped-def]
+@pytest.mark.parametrize("fault", [_lost_reply, _slow_table])
+def test_submit_survives_table_fault(fault) -> None:  # type: ignore[no-untyped-def]
     """A lost reply or a slow table does not leave the caller without an answer."""
 
     async def run() -> None:
         async with cell() as made:
             owner = await made.own()
-            door = made.door(lambda: owner)
+            job_frontend = made.job_frontend(lambda: owner)
             await fault(made)
-            answer = await door.submit(queue(), "d", job(step(1)), limit_s=3.0)
-            assert answer.status is DoorStatus.DONE
+            answer = await job_frontend.submit(queue(), "d", job(step(1)), limit_s=3.0)
+            assert answer.status is RequestStatus.DONE
 
-    go(run())
+    run_async(run())
 
 
-def test_a_door_without_owner_leaves_the_job_in_the_inbox() -> None:
+def test_submit_without_owner_writes_to_inbox() -> None:
     """The next owner finds it there; a repeat is the same job."""
 
     async def run() -> None:
         async with cell() as made:
-            door = made.door(lambda: None)
+            job_frontend = made.job_frontend(lambda: None)
             for _ in range(2):
-                answer = await door.submit(queue(), "d", job(step(2)), limit_s=3.0)
-                assert answer.status is DoorStatus.DONE
-            assert (await door.state("d")).state == "queued"
+                answer = await job_frontend.submit(
+                    queue(), "d", job(step(2)), limit_s=3.0
+                )
+                assert answer.status is RequestStatus.DONE
+            assert (await job_frontend.state("d")).state == "queued"
             owner = await made.own()
             await until(lambda: state(owner, "d") == "completed")
             assert len(made.fleet.starts) == 2
 
-    go(run())
+    run_async(run())
 
 
-def test_a_door_that_is_cut_off_refuses_at_once() -> None:
+def test_submit_on_isolated_host_is_refused_immediately() -> None:
     """Nothing is sent, so the refusal is true, and the caller goes elsewhere."""
 
     async def run() -> None:
         async with cell() as made:
-            door = made.door(lambda: None, in_contact=lambda: False)
-            answer = await door.submit(queue(), "d", job(step(1)), limit_s=3.0)
-            assert answer.status is DoorStatus.REFUSED
+            job_frontend = made.job_frontend(lambda: None, in_contact=lambda: False)
+            answer = await job_frontend.submit(queue(), "d", job(step(1)), limit_s=3.0)
+            assert answer.status is RequestStatus.REFUSED
             assert not [key for key in made.table.rows if key.startswith("inbox/")]
 
-    go(run())
+    run_async(run())
 
 
-def test_a_job_that_may_be_stored_is_never_refused() -> None:
+def test_possibly_stored_job_is_never_refused() -> None:
     """With the table down after a commit left, the answer is 'unknown'."""
 
     async def run() -> None:
         async with cell() as made:
             owner = await made.own()
-            door = made.door(lambda: owner)
+            job_frontend = made.job_frontend(lambda: owner)
             made.table.faults.lose_replies = 1000
-            answer = await door.submit(queue(), "d", job(step(1)), limit_s=0.6)
-            assert answer.status is DoorStatus.UNKNOWN
+            answer = await job_frontend.submit(queue(), "d", job(step(1)), limit_s=0.6)
+            assert answer.status is RequestStatus.UNKNOWN
 
-    go(run())
+    run_async(run())
 
 
-class _NeverAnswers:
+class _UnresponsiveOwner:
     """An owner that took a job and gives no answer, as one that just died."""
 
     async def submit(self, req: SubmitRequest) -> SubmitReply:
@@ -94,48 +96,50 @@
         await asyncio.sleep(60)
         return SubmitReply()
 
-    def state(self, job_id: str) -> JobAnswer:
+    def state(self, job_id: str) -> JobReply:
         """Know nothing."""
-        return JobAnswer(owner=True)
+        return JobReply(owner=True)
 
 
-def test_a_dead_owner_does_not_cost_a_caller_its_time() -> None:
+def test_unresponsive_owner_does_not_delay_submit() -> None:
     """The job goes to the inbox beside, where the next owner finds it."""
 
     async def run() -> None:
         async with cell() as made:
-            door = made.door(lambda: cast(Owner, _NeverAnswers()))
-            asked = door.submit(queue(), "d", job(step(1)), limit_s=3.0)
+            job_frontend = made.job_frontend(lambda: cast(Owner, _UnresponsiveOwner()))
+            asked = job_frontend.submit(queue(), "d", job(step(1)), limit_s=3.0)
             answer = await asyncio.wait_for(asked, timeout=10.0)
-            assert answer.status is DoorStatus.DONE
+            assert answer.status is RequestStatus.DONE
             owner = await made.own()
             await until(lambda: state(owner, "d") == "completed")
 
-    go(run())
+    run_async(run())
 
 
-def test_a_door_that_is_cut_off_meanwhile_answers_soon() -> None:
+def test_submit_returns_promptly_when_host_becomes_isolated() -> None:
     """It does not hold a caller while a write to the inbox is tried again."""
 
     async def run() -> None:
         async with cell() as made:
             contact = [True]
-            door = made.door(lambda: None, in_contact=lambda: contact[0])
+            job_frontend = made.job_frontend(
+                lambda: None, in_contact=lambda: contact[0]
+            )
             made.table.faults.slow_s = 30.0
             asked = asyncio.create_task(
-                door.submit(queue(), "d", job(step(1)), limit_s=60.0)
+                job_frontend.submit(queue(), "d", job(step(1)), limit_s=60.0)
             )
             await asyncio.sleep(0.2)
             contact[0] = False
             answer = await asyncio.wait_for(asked, timeout=10.0)
-            assert answer.status is DoorStatus.UNKNOWN
+            assert answer.status is RequestStatus.UNKNOWN
 
-    go(run())
+    run_async(run())
 
 
 # Guards against a refusal that is not true: a first try may have stored the job, and an
 # owner that is asked next has heard that the caller's key is gone.
-def test_a_job_that_may_be_stored_is_never_denied() -> None:
+def test_possibly_stored_job_is_never_denied() -> None:
     async def run() -> None:
         async with cell() as made:
 
@@ -149,15 +153,15 @@
                         return SubmitReply()
                     return SubmitReply(denied=True, reason="the key was taken away")
 
-            door = made.door(lambda: cast(Owner, denies))
+            job_frontend = made.job_frontend(lambda: cast(Owner, denies))
             denies = Denies()
-            answer = await door.submit(queue(), "d", job(step(1)), limit_s=1.0)
-            assert answer.status is DoorStatus.UNKNOWN and denies.tries > 1
+            answer = await job_frontend.submit(queue(), "d", job(step(1)), limit_s=1.0)
+            assert answer.status is RequestStatus.UNKNOWN and denies.tries > 1
 
-    go(run())
+    run_async(run())
 
 
-class _Unreadable:
+class _UnavailableTable:
     """A table that gives no answer to readers."""
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
@@ -165,7 +169,7 @@
         raise errors.TableUnavailable("down")
 
 
-class _OfAnotherVersion:
+class _UnknownRowFormat:
     """A table whose rows nobody here can decode."""
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
@@ -175,15 +179,15 @@
 
 # Guards against a submission that ends in an unhandled error: its identity stands in
 # the inbox already, and whose it is cannot be read.
-@pytest.mark.parametrize("store", [_Unreadable(), _OfAnotherVersion()])
-def test_a_repeat_whose_row_cannot_be_read_is_answered(store: object) -> None:
+@pytest.mark.parametrize("store", [_UnavailableTable(), _UnknownRowFormat()])
+def test_repeated_submit_with_unreadable_inbox_row_is_answered(store: object) -> None:
     async def run() -> None:
         async with cell() as made:
-            first = made.door(lambda: None)
+            first = made.job_frontend(lambda: None)
             answer = await first.submit(queue(), "d", job(step(1)), limit_s=3.0)
-            assert answer.status is DoorStatus.DONE
-            repeat = made.door(lambda: None, store=store)
+            assert answer.status is RequestStatus.DONE
+            repeat = made.job_frontend(lambda: None, store=store)
             answer = await repeat.submit(queue(), "d", job(step(1)), limit_s=0.6)
-            assert answer.status is DoorStatus.UNKNOWN
+            assert answer.status is RequestStatus.UNKNOWN
 
-    go(run())
+    run_async(run())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,32 +6,34 @@
 
 pytest_plugins = ["pytester"]
 
-TESTS = """
+TEST_MODULE = """
 def test_listed():
     assert False
 
 def test_other():
     assert {other}
 """
-LISTED = "test_it.py::test_listed | pytest | seen | issue 0\n"
+KNOWN_RED_TEXT = "test_it.py::test_listed | pytest | seen | issue 0\n"
 
 
 @pytest.mark.parametrize(("other", "exit_code"), [(True, 0), (False, 1)])
-def test_only_an_unlisted_failure_fails_a_run(
+def test_only_unlisted_failure_fails_run(
     other: bool,
     exit_code: int,
     pytester: pytest.Pytester,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(conftest, "_read", lambda: conftest.known_red(LISTED))
+    monkeypatch.setattr(
+        conftest, "_read", lambda: conftest.parse_known_red(KNOWN_RED_TEXT)
+    )
     pytester.makeconftest("from tests.conftest import *\n")
-    pytester.makepyfile(test_it=TESTS.format(other=other))
+    pytester.makepyfile(test_it=TEST_MODULE.format(other=other))
     found = pytester.runpytest_inprocess("-p", "no:cacheprovider")
     assert found.ret == exit_code
     found.stdout.fnmatch_lines(["*test_listed: expected to fail | pytest*"])
 
 
-def test_the_list_names_tests_that_there_are(request: pytest.FixtureRequest) -> None:
+def test_listed_tests_exist(request: pytest.FixtureRequest) -> None:
     """A line for a test that was renamed would let pass nothing, and say nothing."""
     listed = conftest._read()
     for name in listed:
--- a/tests/test_large_config.py
+++ b/tests/test_large_config.py
@@ -25,8 +25,8 @@
 from cranberrycleat.platform.records import CONFIG_KEY, CONFIG_TABLE, read_config
 from cranberrycleat.platform.store import PlatformStore
 from cranberrycleat.workflow.directory import ConfigFollower
-from tests.fakes import go
-from tests.slow_table import LONGEST_S, WAIT_S, slow_link
+from tests.fakes import run_async
+from tests.slow_table import READ_DEADLINE_S, WAIT_S, slow_link
 
 
 def follower(store: PlatformStore) -> ConfigFollower:
@@ -36,13 +36,13 @@
     )
 
 
-async def follow_to(held: ConfigFollower, version: int) -> None:
+async def follow_until_version(held: ConfigFollower, version: int) -> None:
     """Follow as a host does until a version is in force.
 
     Raises:
         TimeoutError: It did not come into force.
     """
-    async with asyncio.timeout(LONGEST_S):
+    async with asyncio.timeout(READ_DEADLINE_S):
         while not holds(held, version):
             try:
                 await held.follow(WAIT_S)
@@ -55,35 +55,35 @@
     return held.current is not None and held.current.version == version
 
 
-def test_a_configuration_that_takes_long_to_read_comes_into_force() -> None:
+def test_slow_config_read_completes() -> None:
     """A link that takes 2 s for it, which a short answer is never given."""
 
     async def run() -> None:
         async with slow_link(2.0) as (table, store):
             held = follower(store)
-            await follow_to(held, 1)
+            await follow_until_version(held, 1)
             table.write(2)
             table.sent = 0
-            await follow_to(held, 2)
+            await follow_until_version(held, 2)
             assert table.sent < 2 * table.size, "the link was filled again and again"
 
-    go(run())
+    run_async(run())
 
 
-def test_a_host_that_starts_reads_a_configuration_that_takes_long() -> None:
+def test_slow_first_config_read_completes() -> None:
     """The first reading is of the whole table, not of changes: the same limit."""
 
     async def run() -> None:
         async with slow_link(3.0) as (table, store):
             table.write(2)
             held = follower(store)
-            await follow_to(held, 2)
+            await follow_until_version(held, 2)
             assert table.sent < 2 * table.size
 
-    go(run())
+    run_async(run())
 
 
-def test_however_slow_the_link_a_reading_that_goes_on_is_not_begun_anew() -> None:
+def test_progressing_read_is_never_restarted() -> None:
     """A limit on the whole, of 20 s, was the same fault at another size.
 
     The soak of the configuration found it, on a link of 250 bytes a second.
@@ -92,15 +92,15 @@
     async def run() -> None:
         async with slow_link(22.0) as (table, store):
             table.write(2)
-            async with asyncio.timeout(4 * LONGEST_S):
+            async with asyncio.timeout(4 * READ_DEADLINE_S):
                 rows = (await store.snapshot(table="op")).rows
             assert [row.version for row in rows] == [2]
             assert table.asked == ["/api/rows-get"]
 
-    go(run())
+    run_async(run())
 
 
-def test_versions_that_others_have_replaced_are_not_read() -> None:
+def test_superseded_versions_are_not_read() -> None:
     """In a series a host reads the newest, however many it has missed.
 
     Each version goes over the link in full, so that a host which reads one after
@@ -110,58 +110,58 @@
     async def run() -> None:
         async with slow_link(0.8) as (table, store):
             held = follower(store)
-            await follow_to(held, 1)
+            await follow_until_version(held, 1)
             table.sent = 0
             table.write(2)
-            reading = asyncio.create_task(follow_to(held, 12))
+            reading = asyncio.create_task(follow_until_version(held, 12))
             for version in range(3, 13):
                 await asyncio.sleep(0.05)
                 table.write(version)
             await reading
             assert table.sent < 3.5 * table.size, "one in progress, then the newest"
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("fault", ["break_off_at", "silent_at"])
-def test_half_a_configuration_is_never_taken_in(fault: str) -> None:
+def test_partial_config_is_never_applied(fault: str) -> None:
     """A reading that ends halfway leaves what is held, and is begun again."""
 
     async def run() -> None:
         async with slow_link(0.4) as (table, store):
             held = follower(store)
-            await follow_to(held, 1)
+            await follow_until_version(held, 1)
             table.write(2)
             setattr(table, fault, table.size // 2)
             with pytest.raises(errors.TableUnavailable):
                 await held.follow(1.0)
             assert holds(held, 1)
-            await follow_to(held, 2)
+            await follow_until_version(held, 2)
 
-    go(run())
+    run_async(run())
 
 
-def test_a_host_that_was_paused_while_it_read_goes_on_reading() -> None:
+def test_read_continues_after_process_pause() -> None:
     """Its time was over while it stood still, but the bytes are there."""
 
     async def run() -> None:
         async with slow_link(1.5) as (table, store):
             held = follower(store)
-            await follow_to(held, 1)
+            await follow_until_version(held, 1)
             table.write(2)
             table.sent = 0
-            reading = asyncio.create_task(follow_to(held, 2))
+            reading = asyncio.create_task(follow_until_version(held, 2))
             for _ in range(2):
                 await asyncio.sleep(0.3)
                 time.sleep(1.5)
             await reading
             assert table.sent < 1.2 * table.size, "it began anew"
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("way", ["workers", "rows", "one row"])
-def test_what_else_is_large_is_read_too(way: str) -> None:
+def test_other_large_reads_complete(way: str) -> None:
     """A list of workers, rows at a takeover, one row: they share the way to the table.
 
     Rows at a takeover decide whether a weak host can ever own.
@@ -171,7 +171,7 @@
         async with slow_link(3.0) as (table, store):
             table.write(2)
             table.asked = []
-            async with asyncio.timeout(LONGEST_S):
+            async with asyncio.timeout(READ_DEADLINE_S):
                 match way:
                     case "workers":
                         feed = await store.follow(table="op", after=1, wait_s=0.0)
@@ -183,4 +183,4 @@
             assert [row.version for row in rows if row is not None] == [2]
             assert len(table.asked) == 1, "nothing was read again"
 
-    go(run())
+    run_async(run())
--- a/tests/test_large_writes.py
+++ b/tests/test_large_writes.py
@@ -14,13 +14,13 @@
 from cranberrycleat.lease import Changes, OwnershipLease
 from cranberrycleat.standins.feed_table import MemoryFeedTable
 from cranberrycleat.table import ABSENT, Check, CommitReply, Put, Transaction
-from cranberrycleat.workflow.options import MOST_BATCH_BYTES, batch_bytes
-from cranberrycleat.workflow.ports import HostRoom
-from cranberrycleat.writer import Change, GroupedWriter, Won
-from tests.fakes import go
+from cranberrycleat.workflow.options import MAX_BATCH_BYTES, batch_bytes
+from cranberrycleat.workflow.ports import HostResources
+from cranberrycleat.writer import BatchingWriter, Change, Committed
+from tests.fakes import run_async
 
 LINK_BYTES_S: Final = 100_000
-TRIES_S: Final = 4.0
+COMMIT_TIMEOUT_S: Final = 4.0
 
 
 @attrs.define(kw_only=True)
@@ -31,17 +31,17 @@
         begun: How many writes set out.
     """
 
-    begun: int = 0
+    started_writes: int = 0
 
     async def commit(self, txn: Transaction) -> CommitReply:
         """Carry the transaction to the table, then apply it."""
-        self.begun += 1
+        self.started_writes += 1
         await asyncio.sleep(txn.size() / LINK_BYTES_S)
         return await MemoryFeedTable.commit(self, txn)
 
 
 @pytest.mark.parametrize("size", [1_000, 60_000])
-def test_a_write_that_is_on_its_way_is_not_begun_anew(size: int) -> None:
+def test_write_in_progress_is_not_restarted(size: int) -> None:
     """The look at the row says no more than that it has not arrived yet."""
 
     async def run() -> None:
@@ -55,23 +55,23 @@
             carries_bytes_s=LINK_BYTES_S,
         )
         assert await lease.acquire()
-        table.begun = 0
-        async with asyncio.timeout(TRIES_S):
+        table.started_writes = 0
+        async with asyncio.timeout(COMMIT_TIMEOUT_S):
             await lease.commit(Changes(puts=(Put(key="jobs/a", value="x" * size),)))
-        assert table.begun == 1
+        assert table.started_writes == 1
         assert table.rows["jobs/a"].value == "x" * size
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
-    ("link_mbps", "expected"), [(1000.0, MOST_BATCH_BYTES), (10.0, 156_250)]
+    ("link_mbps", "expected"), [(1000.0, MAX_BATCH_BYTES), (10.0, 156_250)]
 )
-def test_a_transaction_takes_no_longer_than_the_lease_bears(
+def test_transaction_size_is_bounded_by_the_lease(
     link_mbps: float, expected: int
 ) -> None:
     """Each of the owner's transactions renews its lease."""
-    assert batch_bytes(HostRoom(processors=1.0, link_mbps=link_mbps)) == expected
+    assert batch_bytes(HostResources(processors=1.0, link_mbps=link_mbps)) == expected
 
 
 def test_a_group_of_large_changes_is_sent_in_parts() -> None:
@@ -79,7 +79,7 @@
 
     async def run() -> None:
         table = MemoryFeedTable()
-        writer = GroupedWriter(table=table, most_bytes=1000)
+        writer = BatchingWriter(table=table, max_bytes=1000)
         sizes = (400, 400, 400, 3000, 100)
         changes = [
             Change(
@@ -89,7 +89,7 @@
             for number, size in enumerate(sizes)
         ]
         results = await asyncio.gather(*(writer.write(each) for each in changes))
-        assert all(isinstance(each, Won) for each in results)
+        assert all(isinstance(each, Committed) for each in results)
         assert writer.transactions == 3
 
-    go(run())
+    run_async(run())
