--- a/tests/test_late_config.py
+++ b/tests/test_late_config.py
@@ -18,7 +18,7 @@
 from cranberrycleat.workflow.node import Node
 from cranberrycleat.workflow.ports import ClusterConfig, Feed
 from tests.cell import CONFIG, Cell, cell, until
-from tests.fakes import go
+from tests.fakes import run_async
 from tests.test_node import JOB, ask, nodes
 
 BOUND_S = 1.0
@@ -30,7 +30,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class NeverRead:
+class StalledFeed:
     """A way to the table over which changes of the configuration do not come.
 
     Attributes:
@@ -52,7 +52,7 @@
         return Feed(changes=(), version=after)
 
 
-async def follow_rows(running: list[Node], made: Cell) -> None:
+async def follow_config_row(running: list[Node], made: Cell) -> None:
     """Have every node follow the configuration's row, which has version 2."""
     for node in running:
         node._config.bound_s = BOUND_S
@@ -73,17 +73,17 @@
     return held is not None and held.version == version
 
 
-def test_a_host_that_cannot_read_the_newest_refuses() -> None:
+def test_node_that_cannot_read_newest_config_refuses_callers() -> None:
     """It hears the table and the owner, who has version 3; callers go elsewhere."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
-            await follow_rows(running, made)
+            await follow_config_row(running, made)
             late = running[1]
-            way = late._config.follower.store
-            blind = NeverRead(table=way)
-            late._config.follower.store = blind
-            await until(lambda: blind.calls > 0)
+            real_table = late._config.follower.store
+            stalled = StalledFeed(table=real_table)
+            late._config.follower.store = stalled
+            await until(lambda: stalled.calls > 0)
             write(made, 3)
             await until(lambda: holds(running[0], 3))
             assert (await ask(late, "GET", "/q/")).status == 200, "in time still"
@@ -95,28 +95,28 @@
                 assert "configuration" in json.loads(reply.body)["reason"]
             assert "jobs/0a" not in made.table.rows, "what was refused never runs"
             assert (await ask(running[0], "GET", "/q/")).status == 200
-            late._config.follower.store = way
+            late._config.follower.store = real_table
             await until(lambda: holds(late, 3) and late.is_ready())
             assert (await ask(late, "GET", "/q/")).status == 200
 
-    go(run())
+    run_async(run())
 
 
-def test_a_host_that_has_lost_the_table_goes_on_answering() -> None:
+def test_node_without_table_keeps_serving() -> None:
     """Without the table nobody can be held to its newest row; the owner serves."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
-            await follow_rows(running, made)
+            await follow_config_row(running, made)
             late = running[1]
             late.adapter.path.cut = True  # type: ignore[attr-defined]
-            await until(lambda: late._config.unread > 0)
+            await until(lambda: late._config.failed_reads > 0)
             write(made, 3)
             await until(lambda: late._config.late_s() > 2 * BOUND_S)
             assert holds(late, 2)
             assert (await ask(late, "POST", "/q/0a", JOB)).status == 200
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
@@ -134,16 +134,16 @@
         (((1, 1.0),), 0, 0.0),
     ],
 )
-def test_how_late_a_configuration_is(
+def test_lateness_counts_from_oldest_unread_version(
     heard: tuple[tuple[int, float], ...], taken: int, late_s: float
 ) -> None:
     """Since the oldest newer version that is still unread was heard of."""
     held = ConfigFollower(
         store=MemoryFeedTable(), table="op", key="op/config", read=read
     )
-    held.take(attrs.evolve(CONFIG, version=1))
+    held.install(attrs.evolve(CONFIG, version=1))
     for version, at in heard:
-        held.hear(version, at)
+        held.note_version(version, at)
     if taken:
-        held.take(attrs.evolve(CONFIG, version=taken))
+        held.install(attrs.evolve(CONFIG, version=taken))
     assert held.late_s(10.0) == late_s
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,15 +9,21 @@
 
 from cranberrycleat import codec, errors
 from cranberrycleat.clock import ManualClock, MonotonicClock
-from cranberrycleat.lease import SLOWEST_S, Changes, Deposed, OwnerRow, OwnershipLease
+from cranberrycleat.lease import (
+    MAX_COUNTED_WRITE_S,
+    Changes,
+    LeaseLost,
+    OwnerRow,
+    OwnershipLease,
+)
 from cranberrycleat.standins.table import MemoryTable
 from cranberrycleat.table import CommitReply, Put, Row, Transaction
-from tests.fakes import LateTable, go
+from tests.fakes import DelayedTable, run_async
 
 LEASE_S = 10.0
 
 
-def candidate(table: LateTable, clock: ManualClock, name: str) -> OwnershipLease:
+def candidate(table: DelayedTable, clock: ManualClock, name: str) -> OwnershipLease:
     """Return one candidate's view of the lease."""
     return OwnershipLease(
         table=table, clock=clock, key="lease", holder=name, lease_s=LEASE_S
@@ -25,10 +31,10 @@
 
 
 @attrs.define
-class Pair:
+class CandidatePair:
     """Two candidates on one table, each with its own clock."""
 
-    table: LateTable = attrs.field(factory=LateTable)
+    table: DelayedTable = attrs.field(factory=DelayedTable)
     clock_a: ManualClock = attrs.field(factory=ManualClock)
     clock_b: ManualClock = attrs.field(factory=lambda: ManualClock(time_s=500.0))
     a: OwnershipLease = attrs.field(init=False)
@@ -44,114 +50,114 @@
         self.clock_b.advance(seconds=seconds)
 
 
-def test_takeover_waits_out_the_lease() -> None:
+def test_takeover_waits_for_lease_expiry() -> None:
     """A candidate takes over only after the holder's lease has run out."""
-    pair = Pair()
-    assert go(pair.a.acquire())
-    assert not go(pair.b.acquire())
+    pair = CandidatePair()
+    assert run_async(pair.a.acquire())
+    assert not run_async(pair.b.acquire())
     pair.advance(LEASE_S)
-    assert not pair.a.authority()
-    assert not go(pair.b.acquire())
+    assert not pair.a.is_valid()
+    assert not run_async(pair.b.acquire())
     pair.advance(LEASE_S * 0.02)
-    assert go(pair.b.acquire())
-    assert (pair.b.epoch, pair.b.takeover_silent) == (2, True)
-    with pytest.raises(Deposed):
-        go(pair.a.commit())
+    assert run_async(pair.b.acquire())
+    assert (pair.b.epoch, pair.b.takeover_unreleased) == (2, True)
+    with pytest.raises(LeaseLost):
+        run_async(pair.a.commit())
 
 
-def test_candidate_allows_for_a_fast_clock() -> None:
+def test_candidate_allows_for_clock_drift() -> None:
     """A candidate whose clock gains does not take over too early."""
-    pair = Pair()
-    go(pair.a.acquire())
-    go(pair.b.acquire())
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
+    run_async(pair.b.acquire())
     pair.clock_a.advance(seconds=LEASE_S - 0.05)
     pair.clock_b.advance(seconds=LEASE_S + 0.03)
-    assert pair.a.authority()
-    assert not go(pair.b.acquire())
+    assert pair.a.is_valid()
+    assert not run_async(pair.b.acquire())
 
 
-def test_renewal_counts_from_before_it_was_sent() -> None:
+def test_renewal_counts_from_before_the_send() -> None:
     """A slow table shortens the holder's lease, never the candidate's wait."""
-    pair = Pair()
-    go(pair.a.acquire())
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
 
     async def slow_commit() -> None:
-        pair.table.hold = True
+        pair.table.delay_commits = True
         with pytest.raises(errors.TableUnavailable):
             await pair.a.commit()
         pair.clock_a.advance(seconds=6)
-        pair.table.hold = False
-        pair.table.land()
+        pair.table.delay_commits = False
+        pair.table.deliver()
         await pair.a.commit()
 
-    go(slow_commit())
+    run_async(slow_commit())
     pair.clock_a.advance(seconds=LEASE_S - 6)
-    assert not pair.a.authority()
+    assert not pair.a.is_valid()
 
 
-def test_paused_holder_finds_out() -> None:
+def test_holder_paused_past_expiry_is_invalid() -> None:
     """A holder that was paused past its lease has no authority when it wakes."""
-    pair = Pair()
-    go(pair.a.acquire())
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
     pair.clock_a.advance(seconds=LEASE_S * 3)
-    assert not pair.a.authority()
+    assert not pair.a.is_valid()
 
 
-def test_release_lets_the_next_take_over_at_once() -> None:
+def test_released_lease_is_acquired_immediately() -> None:
     """A released lease needs no wait, and is known not to be silent."""
-    pair = Pair()
-    go(pair.a.acquire())
-    go(pair.a.release())
-    assert go(pair.b.acquire())
-    assert not pair.b.takeover_silent
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
+    run_async(pair.a.release())
+    assert run_async(pair.b.acquire())
+    assert not pair.b.takeover_unreleased
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_lost_reply_is_settled(lost: int) -> None:
+def test_commit_with_lost_reply_is_resolved(lost: int) -> None:
     """A write whose reply was lost takes effect once and keeps the lease."""
-    pair = Pair()
-    go(pair.a.acquire())
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
     changes = Changes(puts=(Put(key="row", value='"x"'),))
     pair.table.inner.faults.lose_replies = lost
     for _ in range(lost):
         with pytest.raises(errors.TableUnavailable):
-            go(pair.a.commit(changes))
-    go(pair.a.commit(changes))
-    assert pair.a.authority()
+            run_async(pair.a.commit(changes))
+    run_async(pair.a.commit(changes))
+    assert pair.a.is_valid()
     assert pair.table.inner.counts.writes == 2
 
 
-def test_lost_reply_to_a_takeover_is_settled() -> None:
+def test_takeover_with_lost_reply_is_resolved() -> None:
     """A candidate whose takeover's reply was lost learns that it won."""
-    pair = Pair()
+    pair = CandidatePair()
     pair.table.inner.faults.lose_replies = 1
     with pytest.raises(errors.TableUnavailable):
-        go(pair.a.acquire())
-    assert go(pair.a.acquire())
-    assert not go(pair.b.acquire())
+        run_async(pair.a.acquire())
+    assert run_async(pair.a.acquire())
+    assert not run_async(pair.b.acquire())
 
 
-def test_late_write_of_a_deposed_holder_is_void() -> None:
+def test_late_write_of_previous_holder_has_no_effect() -> None:
     """A write that arrives after a takeover changes nothing."""
-    pair = Pair()
-    go(pair.a.acquire())
-    pair.table.hold = True
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
+    pair.table.delay_commits = True
     with pytest.raises(errors.TableUnavailable):
-        go(pair.a.commit(Changes(puts=(Put(key="row", value='"late"'),))))
-    pair.table.hold = False
-    go(pair.b.acquire())
+        run_async(pair.a.commit(Changes(puts=(Put(key="row", value='"late"'),))))
+    pair.table.delay_commits = False
+    run_async(pair.b.acquire())
     pair.advance(LEASE_S * 1.02)
-    assert go(pair.b.acquire())
-    pair.table.land()
+    assert run_async(pair.b.acquire())
+    pair.table.deliver()
     assert "row" not in pair.table.inner.rows
 
 
-class LeaseMachine(RuleBasedStateMachine):
+class LeaseStateMachine(RuleBasedStateMachine):
     """Any order of steps, losses, late writes, restarts and pauses."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.table = LateTable()
+        self.table = DelayedTable()
         self.clocks = [ManualClock(), ManualClock(time_s=1e4), ManualClock()]
         self.leases = [self._fresh(number) for number in range(3)]
         self.starts = 0
@@ -170,7 +176,7 @@
     def acquire(self, number: int) -> None:
         """One candidate looks, and takes the lease if it is free."""
         try:
-            go(self.leases[number].acquire())
+            run_async(self.leases[number].acquire())
         except errors.TableUnavailable:
             pass
 
@@ -178,8 +184,8 @@
     def renew(self, number: int) -> None:
         """One of them renews, if it thinks that it holds the lease."""
         try:
-            go(self.leases[number].commit())
-        except (errors.TableUnavailable, Deposed):
+            run_async(self.leases[number].commit())
+        except (errors.TableUnavailable, LeaseLost):
             pass
 
     @rule(number=st.integers(0, 2))
@@ -191,8 +197,8 @@
     def release(self, number: int) -> None:
         """One of them hands over, if it holds the lease."""
         try:
-            go(self.leases[number].release())
-        except (errors.TableUnavailable, Deposed):
+            run_async(self.leases[number].release())
+        except (errors.TableUnavailable, LeaseLost):
             pass
 
     @rule(lost=st.integers(0, 2))
@@ -200,30 +206,30 @@
         """The next replies are lost after the write took effect."""
         self.table.inner.faults.lose_replies = lost
 
-    @rule(hold=st.booleans())
-    def hold(self, hold: bool) -> None:
+    @rule(delay_commits=st.booleans())
+    def delay_commits(self, delay_commits: bool) -> None:
         """Writes are held back on their way, or no longer."""
-        self.table.hold = hold
+        self.table.delay_commits = delay_commits
 
     @rule()
-    def land(self) -> None:
+    def deliver(self) -> None:
         """The writes that were held back arrive."""
-        self.table.land()
+        self.table.deliver()
 
     @invariant()
-    def one_owner(self) -> None:
+    def at_most_one_valid_lease(self) -> None:
         """At most one process has authority, at every moment."""
-        assert sum(lease.authority() for lease in self.leases) <= 1
+        assert sum(lease.is_valid() for lease in self.leases) <= 1
 
 
-LeaseMachine.TestCase.settings = settings(
+LeaseStateMachine.TestCase.settings = settings(
     max_examples=150, stateful_step_count=40, deadline=None, derandomize=True
 )
-test_any_order_of_events = LeaseMachine.TestCase
+test_any_order_of_events = LeaseStateMachine.TestCase
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
-def test_a_release_without_answer_is_sent_again(lost: int) -> None:
+def test_release_without_reply_is_retried(lost: int) -> None:
     """A candidate need not wait for the lease only because replies were lost."""
 
     async def run() -> None:
@@ -239,9 +245,9 @@
         table.faults.lose_replies = lost
         await leases[0].release()
         assert await leases[1].acquire()
-        assert not leases[1].takeover_silent
+        assert not leases[1].takeover_unreleased
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
@@ -253,22 +259,22 @@
     ],
     ids=["looks go on", "cut off, and it renewed", "cut off, and it did not"],
 )
-def test_evidence_of_a_death_is_not_trusted_by_who_was_cut_off(
+def test_isolated_candidate_ignores_evidence_of_holder_death(
     away_s: float, renewed: bool, expected: bool
 ) -> None:
     """Nobody listens for it because of the cut, not because the holder died."""
-    pair = Pair()
-    go(pair.a.acquire())
-    assert not go(pair.b.acquire())
+    pair = CandidatePair()
+    run_async(pair.a.acquire())
+    assert not run_async(pair.b.acquire())
     pair.b.is_dead = lambda holder: True
     pair.advance(away_s)
     if renewed:
-        go(pair.a.commit())
-    assert go(pair.b.acquire()) is expected
+        run_async(pair.a.commit())
+    assert run_async(pair.b.acquire()) is expected
 
 
 @attrs.define(kw_only=True)
-class SlowCommits(MemoryTable):
+class SerialSlowTable(MemoryTable):
     """Carries out one transaction after the other, each slowly."""
 
     each_s: float = 0.0
@@ -295,54 +301,54 @@
         return reply
 
 
-def _on(table: MemoryTable) -> OwnershipLease:
+def _lease_on(table: MemoryTable) -> OwnershipLease:
     return OwnershipLease(
         table=table, clock=MonotonicClock(), key="owner", holder="a", lease_s=0.9
     )
 
 
-def test_a_lost_answer_is_found_in_the_row_and_nothing_is_sent_twice() -> None:
+def test_lost_reply_is_found_in_row_without_resending() -> None:
     """A second copy would only wait behind the first."""
 
     async def run() -> None:
-        table = SlowCommits()
-        lease = _on(table)
+        table = SerialSlowTable()
+        lease = _lease_on(table)
         assert await lease.acquire()
         table.lose, table.sent = 1, 0
         await asyncio.wait_for(lease.commit(), 2.0)
-        assert table.sent == 1 and lease.authority()
+        assert table.sent == 1 and lease.is_valid()
 
-    go(run())
+    run_async(run())
 
 
-def test_a_slow_table_gets_one_copy_and_the_lease_is_longer_there() -> None:
+def test_slow_table_gets_one_copy_and_a_longer_lease() -> None:
     """Candidates see a change so late that the usual length would look lapsed."""
 
     async def run() -> None:
-        table = SlowCommits()
-        lease = _on(table)
+        table = SerialSlowTable()
+        lease = _lease_on(table)
         assert await lease.acquire()
         table.each_s, table.sent = 0.45, 0
         await lease.commit()
         await lease.commit()
         assert table.sent == 2
         row = codec.decode(table.rows["owner"].value, OwnerRow)
-        assert 0.9 + 2 * 0.45 <= row.lease_s <= 0.9 + 2 * SLOWEST_S
+        assert 0.9 + 2 * 0.45 <= row.lease_s <= 0.9 + 2 * MAX_COUNTED_WRITE_S
         table.each_s = 0.0
         await lease.commit()
         await lease.commit()
         row = codec.decode(table.rows["owner"].value, OwnerRow)
         assert row.lease_s == 0.9
 
-    go(run())
+    run_async(run())
 
 
-def test_an_outage_makes_no_lease_longer() -> None:
+def test_outage_does_not_extend_lease() -> None:
     """A write that was sent again has waited for the table, not for its turn."""
 
     async def run() -> None:
-        table = SlowCommits()
-        lease = _on(table)
+        table = SerialSlowTable()
+        lease = _lease_on(table)
         assert await lease.acquire()
         table.faults.down = True
         with pytest.raises(errors.TableUnavailable):
@@ -355,33 +361,33 @@
         row = codec.decode(table.rows["owner"].value, OwnerRow)
         assert row.lease_s == 0.9
 
-    go(run())
+    run_async(run())
 
 
-def test_a_late_write_to_a_table_that_is_not_slow_is_sent_again_soon() -> None:
+def test_delayed_write_to_responsive_table_is_resent() -> None:
     """It is not behind anything; the copy that comes late has no effect."""
 
     async def run() -> None:
-        table = SlowCommits(slow_reads=False)
-        lease = _on(table)
+        table = SerialSlowTable(slow_reads=False)
+        lease = _lease_on(table)
         assert await lease.acquire()
         table.each_s = 5.0
         late = Changes(puts=(Put(key="row", value='"x"'),))
         with pytest.raises(errors.TableUnavailable):
             await asyncio.wait_for(lease.commit(late), 2.0)
-        assert lease.authority()
+        assert lease.is_valid()
         table.each_s = 0.0
         await lease.commit(late)
-        assert lease.authority() and table.version("row")
+        assert lease.is_valid() and table.version("row")
 
-    go(run())
+    run_async(run())
 
 
-def test_a_successor_knows_how_long_its_predecessor_may_act() -> None:
+def test_successor_inherits_predecessor_lease_length() -> None:
     """Its last write may have held longer than this process would ask for."""
-    pair = Pair()
+    pair = CandidatePair()
     pair.a.lease_s = 2.5
-    go(pair.a.acquire())
+    run_async(pair.a.acquire())
     pair.b.is_dead = lambda holder: True
-    assert go(pair.b.acquire())
+    assert run_async(pair.b.acquire())
     assert pair.b.inherited_s == 2.5
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -8,9 +8,11 @@
 import pytest
 
 PAGE = Path(__file__).parent.parent / "docs" / "library.md"
-TITLED = re.compile(r"^## (.+?)$.*?```python\n(.*?)```", re.MULTILINE | re.DOTALL)
-EXAMPLES = TITLED.findall(PAGE.read_text())
-DAEMONS = ("scheduler", "gateway", "serve", "cli", "litestar", "uvicorn")
+EXAMPLE_PATTERN = re.compile(
+    r"^## (.+?)$.*?```python\n(.*?)```", re.MULTILINE | re.DOTALL
+)
+EXAMPLES = EXAMPLE_PATTERN.findall(PAGE.read_text())
+DAEMON_MODULES = ("scheduler", "gateway", "serve", "cli", "litestar", "uvicorn")
 
 
 def test_every_part_has_an_example() -> None:
@@ -30,4 +32,4 @@
     assert done.returncode == 0, done.stderr
     names = done.stdout.split()
     parts = [name.removeprefix("cranberrycleat.") for name in names]
-    assert not set(parts) & set(DAEMONS)
+    assert not set(parts) & set(DAEMON_MODULES)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -14,10 +14,10 @@
 from cranberrycleat.messages import InboxEntry, JobPart, Outcome
 from cranberrycleat.shard import Shard
 from cranberrycleat.standins.table import MemoryTable
-from tests.fakes import DirectWorker, direct_worker, go
+from tests.fakes import DirectWorker, direct_worker, run_async
 
 LEASE_S = 10.0
-MOST_TRIES = 5
+MAX_ATTEMPTS = 5
 """Starts of a task that crashes each worker that starts it."""
 TIMES = LinkTimes(lease_s=10.0, order_s=2.0, release_after_s=60.0)
 
@@ -34,19 +34,19 @@
 
     def sync(self) -> None:
         """Give the worker one order, and look at the leases."""
-        go(self._sync())
+        run_async(self._sync())
 
     async def _sync(self) -> None:
         await self.link._sync()
         self.link._check_leases()
 
-    def place(self) -> None:
+    def plan_round(self) -> None:
         """Plan a round and take it to be durable."""
         self.shard.confirm(self.shard.plan())
 
     def renew(self) -> None:
         """Renew the ownership lease."""
-        go(self.lease.commit())
+        run_async(self.lease.commit())
 
     def state(self) -> tuple[TaskState, int]:
         """Return the state and attempt of the only task."""
@@ -61,11 +61,11 @@
     lease = OwnershipLease(
         table=table, clock=clock, key="lease", holder=name, lease_s=LEASE_S
     )
-    assert go(lease.acquire())
+    assert run_async(lease.acquire())
     shard = Shard(data_centre="dc-a")
-    shard.learn_hosts([client.standin.entry])
+    shard.update_hosts([client.standin.entry])
     inherited = inherited_leases(
-        now=clock.now(), silent=lease.takeover_silent, times=TIMES
+        now=clock.now(), silent=lease.takeover_unreleased, times=TIMES
     )
     link = WorkerLink(
         entry=client.standin.entry,
@@ -90,8 +90,10 @@
     program = Program(command="serve", run_s=1000.0)
     spec = JobSpec(name="job", kind=kind, program=program)
     owner.sync()
-    owner.shard.take(InboxEntry(id="1", submit=JobPart(spec=spec, indices=(0,))))
-    owner.place()
+    owner.shard.apply_change(
+        InboxEntry(id="1", submit=JobPart(spec=spec, indices=(0,)))
+    )
+    owner.plan_round()
     owner.sync()
     owner.sync()
     assert runs(client)
@@ -105,7 +107,7 @@
     return task is not None and task.outcome is Outcome.RUNNING
 
 
-def pass_time(owner: Owner, seconds: float) -> None:
+def advance_clocks(owner: Owner, seconds: float) -> None:
     """Let time pass for owner and worker alike."""
     owner.clock.advance(seconds=seconds)
     worker_clock = owner.client.standin.clock
@@ -113,38 +115,40 @@
     worker_clock.advance(seconds=seconds)
 
 
-def test_task_ends_when_nothing_renews_its_lease() -> None:
+def test_task_stops_when_its_lease_expires() -> None:
     """A worker that nobody reaches stops its task at the end of the lease."""
     owner, _, _ = running()
-    pass_time(owner, TIMES.lease_s - 0.1)
+    advance_clocks(owner, TIMES.lease_s - 0.1)
     assert runs(owner.client)
-    pass_time(owner, 0.2)
+    advance_clocks(owner, 0.2)
     assert not runs(owner.client)
 
 
-def test_lost_worker_is_waited_out() -> None:
+def test_lost_worker_tasks_move_only_after_lease_expiry() -> None:
     """A task goes elsewhere only once its worker must have stopped it."""
     owner, _, _ = running()
-    owner.client.cut = True
+    owner.client.disconnected = True
     while owner.state()[0] is TaskState.PLACED:
         assert owner.clock.now() < 200, "never given up"
-        pass_time(owner, 0.5)
+        advance_clocks(owner, 0.5)
         owner.renew()
         owner.sync()
     assert not runs(owner.client)
 
 
-def test_lapsed_owner_starts_nothing() -> None:
+def test_expired_owner_starts_no_tasks() -> None:
     """Without the ownership lease an owner renews but starts nothing."""
     owner, _, _ = running()
     for _ in range(3):
-        pass_time(owner, 5.0)
+        advance_clocks(owner, 5.0)
         owner.sync()
     spec = JobSpec(name="more", kind=Kind.BATCH, program=Program(run_s=1000.0))
-    owner.shard.take(InboxEntry(id="2", submit=JobPart(spec=spec, indices=(0,))))
-    owner.place()
+    owner.shard.apply_change(
+        InboxEntry(id="2", submit=JobPart(spec=spec, indices=(0,)))
+    )
+    owner.plan_round()
     for _ in range(8):
-        pass_time(owner, 5.0)
+        advance_clocks(owner, 5.0)
         owner.sync()
     assert runs(owner.client)
     assert "more/0" not in owner.client.standin.tasks
@@ -158,28 +162,30 @@
         (Kind.SERVICE, 500.0, True),
     ],
 )
-def test_what_a_lapsed_owner_renews(kind: Kind, lapsed_s: float, still: bool) -> None:
+def test_renewals_by_expired_owner(kind: Kind, lapsed_s: float, still: bool) -> None:
     """Kept tasks are renewed for ever, others for a bounded time."""
     owner, _, _ = running(kind)
-    pass_time(owner, LEASE_S - 1)
+    advance_clocks(owner, LEASE_S - 1)
     owner.sync()
     for _ in range(int(lapsed_s / 5) + 1):
-        pass_time(owner, 5.0)
+        advance_clocks(owner, 5.0)
         owner.sync()
     assert runs(owner.client) is still
 
 
-def test_late_order_is_void() -> None:
+def test_expired_order_is_rejected() -> None:
     """A start order that was held up on its way does nothing when it arrives."""
     owner, _, _ = running()
     spec = JobSpec(name="more", kind=Kind.BATCH, program=Program(run_s=1000.0))
-    owner.shard.take(InboxEntry(id="2", submit=JobPart(spec=spec, indices=(0,))))
-    owner.place()
-    owner.client.catch = True
+    owner.shard.apply_change(
+        InboxEntry(id="2", submit=JobPart(spec=spec, indices=(0,)))
+    )
+    owner.plan_round()
+    owner.client.intercept = True
     owner.sync()
-    pass_time(owner, TIMES.order_s + 0.1)
+    advance_clocks(owner, TIMES.order_s + 0.1)
     with pytest.raises(errors.ProblemError) as caught:
-        owner.client.standin.obey(owner.client.late[0])
+        owner.client.standin.apply_orders(owner.client.late[0])
     assert caught.value.code == errors.EXPIRED_ORDER
     assert "more/0" not in owner.client.standin.tasks
 
@@ -190,10 +196,10 @@
     watcher = OwnershipLease(
         table=table, clock=clock, key="lease", holder="b", lease_s=LEASE_S
     )
-    go(watcher.acquire())
+    run_async(watcher.acquire())
     clock.advance(seconds=LEASE_S * 1.02)
     for _ in range(2):
-        pass_time(owner, LEASE_S * 0.51)
+        advance_clocks(owner, LEASE_S * 0.51)
         owner.sync()
     client = DirectWorker(standin=owner.client.standin)
     second = make_owner_from(watcher, clock, client)
@@ -207,18 +213,18 @@
     lease: OwnershipLease, clock: ManualClock, client: DirectWorker
 ) -> Owner:
     """Return an owner around a lease that watched the first one's."""
-    made = make_owner(MemoryTable(), clock, client)
-    assert go(lease.acquire())
-    made.lease = made.link.lease = lease
+    owner = make_owner(MemoryTable(), clock, client)
+    assert run_async(lease.acquire())
+    owner.lease = owner.link.lease = lease
     inherited = inherited_leases(
-        now=clock.now(), silent=lease.takeover_silent, times=TIMES
+        now=clock.now(), silent=lease.takeover_unreleased, times=TIMES
     )
-    made.link.keep_until = inherited.keep_until
-    made.link.release_until = inherited.release_until
-    return made
+    owner.link.keep_until = inherited.keep_until
+    owner.link.release_until = inherited.release_until
+    return owner
 
 
-def test_worker_refuses_an_older_epoch() -> None:
+def test_worker_rejects_an_older_epoch() -> None:
     """Once the successor has spoken, the first owner is fenced off."""
     owner, table, _ = running()
     second = successor(owner, table)
@@ -229,16 +235,16 @@
 
 
 @pytest.mark.parametrize(("kind", "freed"), [(Kind.SERVICE, False), (Kind.BATCH, True)])
-def test_successor_without_a_link_to_the_worker(kind: Kind, freed: bool) -> None:
+def test_successor_that_cannot_reach_the_worker(kind: Kind, freed: bool) -> None:
     """The first owner may still renew: kept tasks stay where they are."""
     owner, table, _ = running(kind)
     second = successor(owner, table)
-    second.client.cut = True
+    second.client.disconnected = True
     for _ in range(60):
         second.clock.advance(seconds=2.0)
-        pass_time(owner, 2.0)
+        advance_clocks(owner, 2.0)
         owner.sync()
-        go(second.lease.commit())
+        run_async(second.lease.commit())
         second.sync()
         if runs(owner.client):
             assert second.state()[0] is TaskState.PLACED, "given up too early"
@@ -246,14 +252,14 @@
     assert runs(owner.client) is not freed
 
 
-def test_operator_vouches_for_a_dead_worker() -> None:
+def test_operator_declares_worker_dead() -> None:
     """An operator's word frees what no lease would."""
     owner, table, _ = running()
     second = successor(owner, table)
-    second.client.cut = True
+    second.client.disconnected = True
     second.sync()
     second.sync()
-    second.link.vouched_dead()
+    second.link.mark_declared_dead()
     second.sync()
     assert second.state()[0] is TaskState.PENDING
 
@@ -265,30 +271,30 @@
     owner.sync()
     owner.sync()
     assert owner.state() == (TaskState.PENDING, 1)
-    owner.place()
+    owner.plan_round()
     owner.sync()
     owner.sync()
     assert owner.state() == (TaskState.PLACED, 2)
     assert runs(owner.client)
 
 
-def test_a_task_that_crashes_its_worker_is_not_tried_for_ever() -> None:
+def test_task_that_crashes_its_worker_is_eventually_failed() -> None:
     """Each attempt restarts its worker, which tells of no failure.
 
     The same cause as of stepped jobs (tests/test_crashing_tasks.py), in the scheduler's
     own jobs: what is lost with a worker counts as no attempt.
     """
     owner, _, _ = running(Kind.BATCH)
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         before = owner.client.standin
         clock = before.clock
         assert isinstance(clock, ManualClock)
         owner.client.standin = direct_worker(clock).standin
-        pass_time(owner, 0.1)
+        advance_clocks(owner, 0.1)
         owner.renew()
         owner.sync()
         owner.sync()
-        owner.place()
+        owner.plan_round()
         owner.sync()
     assert owner.state()[0] is TaskState.FAILED
-    assert owner.state()[1] <= MOST_TRIES
+    assert owner.state()[1] <= MAX_ATTEMPTS
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -13,10 +13,16 @@
 
 from cranberrycleat import events, lifecycle, logs
 from cranberrycleat.cli import main
-from cranberrycleat.explain import cause, read_line, read_lines, stories, story
+from cranberrycleat.explain import (
+    cause,
+    job_timeline,
+    job_timelines,
+    read_line,
+    read_lines,
+)
 from cranberrycleat.log_sink import LogSink
 from cranberrycleat.logs import encode_event
-from cranberrycleat.losses import sum_up
+from cranberrycleat.losses import summarize
 from cranberrycleat.metrics import Metrics
 from cranberrycleat.workflow.telemetry import Telemetry
 
@@ -24,7 +30,7 @@
 DOCS = Path(__file__).parent.parent / "docs" / "OPERATIONS.md"
 
 
-def test_the_table_of_events_agrees_with_the_module() -> None:
+def test_documented_events_match_the_module() -> None:
     """docs/OPERATIONS.md lists every event with its doc line, and no other."""
     text = DOCS.read_text()
     table = text[text.index("### Logs") : text.index("### Finding a cause")]
@@ -32,7 +38,7 @@
     assert dict(rows) == {kind.name: kind.doc for kind in events.KINDS.values()}
 
 
-def test_names_are_unique_and_fields_do_not_hide_the_line_s_own() -> None:
+def test_event_names_are_unique_and_fields_do_not_shadow_line_fields() -> None:
     """A line's time, event and host come first; no event has such a field."""
     names = [kind.name for kind in events.KINDS.values()]
     assert len(names) == len(set(names))
@@ -45,20 +51,20 @@
     return json.dumps({"event": "log.left_out", "by_event": by_event}).encode() + b"\n"
 
 
-def test_a_pipe_that_nobody_reads_does_not_stop_the_process() -> None:
+def test_unread_pipe_does_not_block_the_process() -> None:
     """Writing goes on at once; what matters least is left out and counted."""
     reader, writer = os.pipe()
 
     async def run() -> None:
-        sink = LogSink(fd=writer, report=_report, most_bytes=50_000)
+        sink = LogSink(fd=writer, report=_report, max_pending_bytes=50_000)
         line = b"x" * 99 + b"\n"
         for number in range(20_000):
-            sink.put("often", line, kept=False)
+            sink.put("often", line, essential=False)
             if number % 1000 == 0:
-                sink.put("refused", b"kept %d\n" % number, kept=True)
+                sink.put("refused", b"kept %d\n" % number, essential=True)
                 await asyncio.sleep(0)
-        assert sink.left_out_ever > 15_000
-        assert set(sink.left_out) == {"often"}
+        assert sink.dropped_total > 15_000
+        assert set(sink.dropped) == {"often"}
         os.set_blocking(reader, False)
         seen = b""
         for _ in range(200):
@@ -77,7 +83,7 @@
     os.close(writer)
 
 
-def test_a_reader_that_goes_away_is_survived() -> None:
+def test_closed_reader_is_tolerated() -> None:
     """A closed pipe is no reason to stop."""
     reader, writer = os.pipe()
     os.close(reader)
@@ -85,7 +91,7 @@
     async def run() -> None:
         sink = LogSink(fd=writer, report=_report)
         for _ in range(10):
-            sink.put("a", b"line\n", kept=True)
+            sink.put("a", b"line\n", essential=True)
             await asyncio.sleep(0.06)
 
     asyncio.run(run())
@@ -197,10 +203,10 @@
         ),
     ],
 )
-def test_explain_names_the_deciding_line(told: list[object], expected: str) -> None:
+def test_explain_finds_the_deciding_line(told: list[object], expected: str) -> None:
     """Each way to lose a job is told from its lines, in any order."""
     lines = [line(event, at=float(at)) for at, event in enumerate(told)]
-    found = cause(story(read_lines(reversed(lines)), "a"))
+    found = cause(job_timeline(read_lines(reversed(lines)), "a"))
     assert expected in found.text
     assert found.entry is not None
 
@@ -209,18 +215,18 @@
     "text",
     ["", "no json", "{", "[1]", '{"event":"job.stored"}', '{"event":"what.is.it"}'],
 )
-def test_lines_that_are_no_events_are_passed_over(text: str) -> None:
+def test_lines_that_are_no_events_are_skipped(text: str) -> None:
     """Also half lines and lines of others."""
     assert read_line(text) is None
 
 
-def test_a_prefix_with_the_bench_s_time_is_understood() -> None:
+def test_bench_time_prefix_is_parsed() -> None:
     """Simulated time goes before the process's own."""
     entry = read_line("  12.5 frontend-1 " + line(STORED, at=99.0))
     assert entry is not None and entry.at == 12.5
 
 
-def test_the_command_reads_files_and_sums_up(tmp_path: Path) -> None:
+def test_explain_command_reads_files_and_summarizes_losses(tmp_path: Path) -> None:
     """One job's story, and all losses."""
     path = tmp_path / "log"
     path.write_text(line(ACCEPTED) + line(STORED) + line(placed(3.0)) + line(ENDED))
@@ -250,7 +256,7 @@
     ],
     ids=["in time", "late", "own failure", "chain", "side by side", "not its own"],
 )
-def test_late_is_judged_by_run_times_as_they_were(
+def test_lateness_is_computed_from_actual_run_times(
     runs: list[tuple[str, str, float]], shown_at: float, expected: int
 ) -> None:
     """The estimate says 0.5 s; twice the chain and half a second are allowed."""
@@ -274,7 +280,7 @@
     ]
     lines = [line(each, at=0.0) for each in (accepted, STORED, *ends)]
     lines += [line(ENDED, at=shown_at), shown(shown_at)]
-    assert sum_up(stories(read_lines(lines)), ("queue",)).lost == expected
+    assert summarize(job_timelines(read_lines(lines)), ("queue",)).lost == expected
 
 
 def test_losses_by_window_and_queue(tmp_path: Path) -> None:
@@ -303,7 +309,7 @@
     metrics = Metrics(role="node", name="n")
     telemetry = Telemetry(metrics=metrics)
     for event in (ACCEPTED, ENDED, placed(0.2), waiting("no room")):
-        telemetry.take(event)
+        telemetry.record_event(event)
     text = metrics.text()
     assert 'cranberrycleat_jobs_accepted{queue="q"} 1' in text
     assert 'jobs_ended{late="true",queue="q",state="completed"} 1' in text
@@ -311,7 +317,7 @@
     assert "cranberrycleat_tasks_waited_duration_count 1" in text
 
 
-def test_lines_are_written_whole_and_in_pieces_that_a_pipe_takes_at_once(
+def test_lines_are_written_whole_and_in_atomic_pipe_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Of a longer write a part may be cut off, or mixed with another process's."""
@@ -326,9 +332,9 @@
         sink = LogSink(fd=writer, report=_report)
         for number in range(300):
             sink.put(
-                "often", b"%d:" % number + b"x" * 200 + b"\n", kept=number % 7 == 0
+                "often", b"%d:" % number + b"x" * 200 + b"\n", essential=number % 7 == 0
             )
-        sink.put("large", b"y" * 9000 + b"\n", kept=False)
+        sink.put("large", b"y" * 9000 + b"\n", essential=False)
         monkeypatch.setattr(os, "write", write)
         sink.flush()
         os.close(reader)
@@ -341,7 +347,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class _Brief:
+class _StopsImmediately:
     """A part that is told to stop as soon as it serves."""
 
     url: str = "http://127.0.0.1:1"
@@ -356,13 +362,13 @@
         pass
 
 
-def test_the_last_lines_of_a_process_are_written(
+def test_pending_lines_are_written_at_shutdown(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     """Lines gather before they are written; a process that stops writes them."""
     logs.set_up(level="info", form="json")
     try:
-        asyncio.run(lifecycle.run(_Brief(), announce="brief"))
+        asyncio.run(lifecycle.run(_StopsImmediately(), announce="brief"))
     finally:
         logs.set_up(level="info", form="text")
     assert "Stopped." in capfd.readouterr().out
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -9,34 +9,34 @@
 import pytest
 
 from cranberrycleat import events
-from cranberrycleat.standins.fleet import Work
-from cranberrycleat.workflow import board as board_module
-from cranberrycleat.workflow.fleet import Loss
+from cranberrycleat.standins.fleet import SimulatedWork
+from cranberrycleat.workflow import cluster_state as cluster_state_module
+from cranberrycleat.workflow.fleet import LossCause
 from tests.cell import cell, job, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 
-@pytest.mark.parametrize("loss", list(Loss), ids=lambda loss: loss.name)
-def test_the_log_tells_a_crash_from_silence(
-    loss: Loss, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("loss", list(LossCause), ids=lambda loss: loss.name)
+def test_log_distinguishes_crash_from_silence(
+    loss: LossCause, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     emitted: list[Any] = []
-    monkeypatch.setattr(board_module, "emit", emitted.append)
+    monkeypatch.setattr(cluster_state_module, "emit", emitted.append)
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            made.fleet.work = lambda task, attempt: Work(seconds=0.5)
-            owner = await made.own()
+        async with cell(workers=1) as env:
+            env.fleet.work = lambda task, attempt: SimulatedWork(seconds=0.5)
+            owner = await env.own()
             await submit(owner, "a", job(step(1)))
-            await until(lambda: len(made.fleet.starts) == 1)
-            worker = made.fleet.workers["w0"]
-            if loss is Loss.REPLACED:
-                made.fleet.go_down(worker)
+            await until(lambda: len(env.fleet.starts) == 1)
+            worker = env.fleet.workers["w0"]
+            if loss is LossCause.REPLACED:
+                env.fleet.crash_and_restart(worker)
             else:
                 worker.silent = True
             await until(lambda: bool(given_up(emitted)))
 
-    go(run())
+    run_async(run())
     first = given_up(emitted)[0]
     assert first.reason == loss.value
     assert first.began
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,27 +3,29 @@
 import pytest
 
 from cranberrycleat.workflow.membership import Membership
-from cranberrycleat.workflow.peering import Digest, DigestReply
+from cranberrycleat.workflow.peering import Heartbeat, HeartbeatReply
 
 
-def _heard(*names: str, at: float = 0.0) -> Membership:
+def _membership_of(*names: str, at: float = 0.0) -> Membership:
     members = Membership()
     for name in names:
-        members.hear(Digest(name=name, address=f"{name}:1", data_centre="dc"), at)
+        members.record_heartbeat(
+            Heartbeat(name=name, address=f"{name}:1", data_centre="dc"), at
+        )
     return members
 
 
-def _reply(owner: Membership, other: Membership, now: float) -> DigestReply:
-    version, peers = owner.listing(now, other.learned)
-    return DigestReply(owner=True, peers_version=version, peers=peers)
+def _reply(owner: Membership, other: Membership, now: float) -> HeartbeatReply:
+    version, peers = owner.peer_list(now, other.peer_list_version)
+    return HeartbeatReply(owner=True, peers_version=version, peers=peers)
 
 
-def test_the_list_is_sent_once_and_stays_fresh_by_its_version() -> None:
-    owner, other = _heard("a", "b"), Membership()
+def test_peer_list_is_sent_once_per_version() -> None:
+    owner, other = _membership_of("a", "b"), Membership()
     first = _reply(owner, other, 1.0)
-    other.learn(first, 1.0)
+    other.apply_peer_list(first, 1.0)
     again = _reply(owner, other, 7.0)
-    other.learn(again, 7.0)
+    other.apply_peer_list(again, 7.0)
     assert (len(first.peers), len(again.peers)) == (2, 0)
     assert {peer.address for peer in other.live(14.0)} == {"a:1", "b:1"}
 
@@ -33,25 +35,25 @@
     [(("a", "b", "c"), 1.0, {"a:1", "b:1", "c:1"}), (("a",), 1.0, {"a:1"})],
     ids=["one more", "one less"],
 )
-def test_a_change_of_the_list_is_sent(
+def test_changed_peer_list_is_sent(
     names: tuple[str, ...], now: float, expected: set[str]
 ) -> None:
     other = Membership()
-    other.learn(_reply(_heard("a", "b"), other, now), now)
-    other.learn(_reply(_heard(*names, at=now), other, now), now)
-    assert {peer.address for peer in other._learned_from} == expected
+    other.apply_peer_list(_reply(_membership_of("a", "b"), other, now), now)
+    other.apply_peer_list(_reply(_membership_of(*names, at=now), other, now), now)
+    assert {peer.address for peer in other._received_peers} == expected
 
 
-def test_another_owner_s_equal_version_without_a_list_is_not_trusted_blindly() -> None:
+def test_empty_peer_list_of_new_owner_replaces_the_old_list() -> None:
     """An owner that took over may know nobody yet: its empty list is taken as it is."""
     other = Membership()
-    other.learn(_reply(_heard("a"), other, 0.0), 0.0)
-    other.learn(_reply(Membership(), other, 0.0), 0.0)
-    assert other._learned_from == ()
+    other.apply_peer_list(_reply(_membership_of("a"), other, 0.0), 0.0)
+    other.apply_peer_list(_reply(Membership(), other, 0.0), 0.0)
+    assert other._received_peers == ()
 
 
-def _word(name: str, place: str) -> Digest:
-    return Digest(name=name, address=f"{name}:1", data_centre=place)
+def _heartbeat(name: str, place: str) -> Heartbeat:
+    return Heartbeat(name=name, address=f"{name}:1", data_centre=place)
 
 
 @pytest.mark.parametrize(
@@ -65,21 +67,21 @@
     ],
     ids=["near first", "a silent host is left out", "none is fresh", "long silent"],
 )
-def test_who_is_asked_for_help(
+def test_permit_peers_prefer_fresh_and_local_hosts(
     heard: tuple[tuple[str, str, float], ...], expected: tuple[str, ...]
 ) -> None:
     members = Membership()
     for name, place, at in heard:
-        members.hear(_word(name, place), at)
-    assert members.helpers(10.0, "here") == expected
+        members.record_heartbeat(_heartbeat(name, place), at)
+    assert members.permit_peers(10.0, "here") == expected
 
 
-def test_a_host_that_comes_is_told_within_a_third_of_a_digest() -> None:
+def test_new_host_is_listed_after_cache_expiry() -> None:
     """The list is not made anew for each of a hundred hosts that ask."""
-    owner, other = _heard("a"), Membership()
-    other.learn(_reply(owner, other, 0.0), 0.0)
-    owner.hear(_word("b", "dc"), 0.05)
-    other.learn(_reply(owner, other, 0.05), 0.05)
+    owner, other = _membership_of("a"), Membership()
+    other.apply_peer_list(_reply(owner, other, 0.0), 0.0)
+    owner.record_heartbeat(_heartbeat("b", "dc"), 0.05)
+    other.apply_peer_list(_reply(owner, other, 0.05), 0.05)
     assert {peer.address for peer in other.live(0.05)} == {"a:1"}
-    other.learn(_reply(owner, other, 0.1), 0.1)
+    other.apply_peer_list(_reply(owner, other, 0.1), 0.1)
     assert {peer.address for peer in other.live(0.1)} == {"a:1", "b:1"}
--- a/tests/test_missing_entries.py
+++ b/tests/test_missing_entries.py
@@ -11,50 +11,52 @@
 import pytest
 
 from cranberrycleat.workflow import options
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.directory import Directory
-from cranberrycleat.workflow.fleet import FleetWorker, Standing
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.directory import WorkerDirectory
+from cranberrycleat.workflow.fleet import FleetWorker, Liveness
 from cranberrycleat.workflow.membership import Membership
 from cranberrycleat.workflow.peering import SubmitRequest
-from cranberrycleat.workflow.roster import MISSING_S, Roster
+from cranberrycleat.workflow.roster import MISSING_ENTRY_GRACE_S, Roster
 from tests.cell import BOUNDS, Cell, cell, entry, job, queue, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 
 def _roster(
-    standing: Standing, doubted: bool
+    liveness: Liveness, unresponsive: bool
 ) -> tuple[Roster, FleetWorker, list[float]]:
     time = [100.0]
-    board = Board(time_of_day=lambda: 0.0, now=lambda: time[0])
-    worker = FleetWorker(entry=entry("w"), standing=standing, doubted=doubted)
-    board.fleet.add(worker)
-    made = Cell()
+    cluster_state = ClusterState(time_of_day=lambda: 0.0, now=lambda: time[0])
+    worker = FleetWorker(entry=entry("w"), liveness=liveness, unresponsive=unresponsive)
+    cluster_state.fleet.add(worker)
+    env = Cell()
     roster = Roster(
-        board=board,
-        directory=Directory(store=made.table, table="servers", read=made.read_worker),
+        cluster_state=cluster_state,
+        directory=WorkerDirectory(
+            store=env.table, table="servers", read=env.read_worker
+        ),
         members=Membership(),
         links={},
         bounds=BOUNDS,
         join=lambda worker: None,
         changed=lambda: None,
     )
-    worker.leases_over_at = 1000.0
+    worker.leases_end_at = 1000.0
     return roster, worker, time
 
 
 @pytest.mark.parametrize(
     ("standing", "doubted", "after_s", "listed"),
     [
-        (Standing.LIVE, False, 0.0, True),
-        (Standing.LIVE, False, MISSING_S - 0.1, True),
-        (Standing.LIVE, False, MISSING_S + 0.1, False),
-        (Standing.LIVE, True, 0.0, False),
-        (Standing.SILENT, False, 0.0, False),
-        (Standing.JOINING, False, 0.0, False),
+        (Liveness.LIVE, False, 0.0, True),
+        (Liveness.LIVE, False, MISSING_ENTRY_GRACE_S - 0.1, True),
+        (Liveness.LIVE, False, MISSING_ENTRY_GRACE_S + 0.1, False),
+        (Liveness.LIVE, True, 0.0, False),
+        (Liveness.SILENT, False, 0.0, False),
+        (Liveness.JOINING, False, 0.0, False),
     ],
 )
-def test_only_a_worker_that_answers_is_used_without_an_entry_and_not_for_long(
-    standing: Standing, doubted: bool, after_s: float, listed: bool
+def test_missing_entry_grace_period(
+    standing: Liveness, doubted: bool, after_s: float, listed: bool
 ) -> None:
     roster, worker, time = _roster(standing, doubted)
     roster.refresh()
@@ -63,71 +65,76 @@
     assert worker.listed is listed
 
 
-def test_one_that_falls_silent_meanwhile_is_used_no_longer() -> None:
-    roster, worker, time = _roster(Standing.LIVE, False)
+def test_unlisted_worker_that_becomes_silent_is_not_used() -> None:
+    roster, worker, time = _roster(Liveness.LIVE, False)
     roster.refresh()
-    worker.standing = Standing.SILENT
+    worker.liveness = Liveness.SILENT
     roster.check_all(time[0])
     assert not worker.listed
 
 
-def test_the_time_begins_anew_with_each_entry() -> None:
-    roster, worker, time = _roster(Standing.LIVE, False)
+def test_grace_period_restarts_when_entry_reappears() -> None:
+    roster, worker, time = _roster(Liveness.LIVE, False)
     roster.refresh()
-    time[0] += MISSING_S - 0.1
+    time[0] += MISSING_ENTRY_GRACE_S - 0.1
     roster.directory.entries["w"] = worker.entry
     roster.refresh()
     del roster.directory.entries["w"]
     roster.refresh()
-    time[0] += MISSING_S - 0.1
+    time[0] += MISSING_ENTRY_GRACE_S - 0.1
     roster.check_all(time[0])
     assert worker.listed
 
 
-def test_work_starts_on_a_worker_whose_entry_has_lapsed() -> None:
+def test_task_starts_on_worker_whose_entry_expired() -> None:
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
-            await until(lambda: owner.board.fleet.workers["w0"].may_draw(0.0))
-            made.unlist_worker("w0")
+        async with cell(workers=1) as env:
+            owner = await env.own()
+            await until(
+                lambda: owner.cluster_state.fleet.workers["w0"].may_accept_work(0.0)
+            )
+            env.unlist_worker("w0")
             await until(lambda: not owner.directory.entries)
             await submit(owner, "a", job(step(1)))
-            await until(lambda: len(made.fleet.starts) == 1, limit_s=1.0)
+            await until(lambda: len(env.fleet.starts) == 1, limit_s=1.0)
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(("settled", "retry_s"), [(False, 1.0), (True, 10.0)])
-def test_what_no_listed_worker_holds_comes_again_soon_while_the_list_settles(
+def test_infeasible_job_is_retried_soon_while_list_settles(
     settled: bool, retry_s: float
 ) -> None:
     """An owner that has just taken over, or has the table back, may not know all."""
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
-            owner.list_settled_at = made.clock.now() + (-1.0 if settled else 5.0)
+        async with cell(workers=1) as env:
+            owner = await env.own()
+            owner.worker_list_settled_at = env.clock.now() + (-1.0 if settled else 5.0)
             await asyncio.sleep(0.05)
             wide = job(step(20, processors=4000, gang=True))
             req = SubmitRequest(job_id="g", queue=queue(), spec=wide)
             reply = await owner.submit(req)
             assert reply.refused and reply.retry_after_s == retry_s
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
     ("settled", "pause_s"),
-    [(False, options.DIRECTORY_SOON_S), (True, options.DIRECTORY_S)],
+    [
+        (False, options.DIRECTORY_FAST_POLL_INTERVAL_S),
+        (True, options.DIRECTORY_POLL_INTERVAL_S),
+    ],
 )
-def test_the_list_is_read_often_until_it_has_settled(
-    settled: bool, pause_s: float
-) -> None:
+def test_list_is_polled_often_until_settled(settled: bool, pause_s: float) -> None:
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
-            assert owner.list_pause_s() == options.DIRECTORY_SOON_S
-            owner.list_settled_at = made.clock.now() + (-1.0 if settled else 5.0)
-            assert owner.list_pause_s() == pause_s
-
-    go(run())
+        async with cell(workers=1) as env:
+            owner = await env.own()
+            assert (
+                owner.worker_list_interval_s() == options.DIRECTORY_FAST_POLL_INTERVAL_S
+            )
+            owner.worker_list_settled_at = env.clock.now() + (-1.0 if settled else 5.0)
+            assert owner.worker_list_interval_s() == pause_s
+
+    run_async(run())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,14 +17,14 @@
 from cranberrycleat.standins.feed_table import MemoryFeedTable
 from cranberrycleat.table import Put
 from cranberrycleat.workflow import options
-from cranberrycleat.workflow.directory import ConfigFollower, Directory
-from cranberrycleat.workflow.door import Door
+from cranberrycleat.workflow.directory import ConfigFollower, WorkerDirectory
+from cranberrycleat.workflow.job_frontend import JobFrontend
 from cranberrycleat.workflow.node import Node, balancer_wait_s
-from cranberrycleat.workflow.ports import HostRoom, NodeSettings
+from cranberrycleat.workflow.ports import HostResources, NodeSettings
 from tests.cell import BOUNDS, CONFIG, AllPermits, Cell, cell, until
-from tests.fakes import go
+from tests.fakes import run_async
 
-CUT_S = 0.1
+PARTITION_TIMEOUT_S = 0.1
 """After how long a call over a path that is cut is given up."""
 LONG_LEASE_S = 60.0
 """Longer than any test waits: what comes sooner does not come from the lease."""
@@ -35,7 +35,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class OwnPath:
+class PartitionableTable:
     """One node's way to the shared table, which may be cut.
 
     Attributes:
@@ -50,13 +50,13 @@
         """Return a call of the table that first looks whether it is cut."""
         call = getattr(self.table, name)
 
-        async def through(*args: Any, **given: Any) -> Any:
+        async def forward(*args: Any, **given: Any) -> Any:
             if self.cut:
-                await asyncio.sleep(CUT_S)
+                await asyncio.sleep(PARTITION_TIMEOUT_S)
                 raise errors.TableUnavailable("cut")
             return await call(*args, **given)
 
-        return through
+        return forward
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -73,7 +73,7 @@
     settings: NodeSettings
     cell: Cell
     permits: AllPermits = attrs.field(factory=AllPermits)
-    path: "OwnPath | None" = None
+    path: "PartitionableTable | None" = None
 
     @property
     def store(self) -> Any:
@@ -85,7 +85,7 @@
         """The shared workers."""
         return self.cell.fleet
 
-    def reread(self) -> tuple[str, ...]:
+    def reload_settings(self) -> tuple[str, ...]:
         """Nothing changes."""
         return ()
 
@@ -98,9 +98,11 @@
         """Return a write that no test looks at."""
         return Put(key=f"status/wave/{number}", value=state)
 
-    def directory(self) -> Directory:
+    def directory(self) -> WorkerDirectory:
         """Return a reader of the shared list."""
-        return Directory(store=self.store, table="servers", read=self.cell.read_worker)
+        return WorkerDirectory(
+            store=self.store, table="servers", read=self.cell.read_worker
+        )
 
     def config_follower(self) -> ConfigFollower:
         """Return a follower that has the configuration already."""
@@ -110,9 +112,9 @@
         found.current = CONFIG
         return found
 
-    def front(self, door: Door, is_ready: Callable[[], bool]) -> Any:
+    def front(self, job_frontend: JobFrontend, is_ready: Callable[[], bool]) -> Any:
         """Return the platform's own front."""
-        return Front(door=door, is_ready=is_ready)
+        return Front(job_frontend=job_frontend, is_ready=is_ready)
 
     def readiness(self, is_ready: Callable[[], bool]) -> Any:
         """Return the platform's own readiness app."""
@@ -140,7 +142,7 @@
         permits="",
         machines="",
         bounds=BOUNDS,
-        room=HostRoom(processors=processors, link_mbps=1000.0),
+        room=HostResources(processors=processors, link_mbps=1000.0),
         spread_factor=3.0,
         status_s=120.0,
         grace_s=6.0,
@@ -156,7 +158,7 @@
     for number in range(count):
         cores = processors[number] if processors else 1.0
         cfg = settings(f"n{number}", f"dc{number}", processors=cores)
-        path = OwnPath(table=made.table)
+        path = PartitionableTable(table=made.table)
         adapter = FakeAdapter(settings=cfg, cell=made, path=path)
         node = Node(adapter=adapter, http=HttpClient())
         await node.start()
@@ -187,7 +189,7 @@
 
 
 @pytest.mark.parametrize("at", [0, 1])
-def test_any_node_answers(at: int) -> None:
+def test_every_node_serves_callers(at: int) -> None:
     """A job is handed in, asked for and finished through owner and other alike."""
 
     async def run() -> None:
@@ -207,7 +209,7 @@
             assert (await ask(node, "POST", "/no/0a", JOB)).status == 404
             assert (await ask(node, "GET", "/q/")).body == b'{"waiting":0}'
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
@@ -222,7 +224,7 @@
         {"spec": "x" * 5000, "steps": [{"count": 1}]},
     ],
 )
-def test_bad_jobs_are_refused_with_the_place(body: object) -> None:
+def test_invalid_jobs_are_rejected_with_reason(body: object) -> None:
     """A job that cannot be read, or can never be, is told so and not stored."""
 
     async def run() -> None:
@@ -232,10 +234,10 @@
             assert json.loads(reply.body)["reason"]
             assert not made.table.rows.get("jobs/0a")
 
-    go(run())
+    run_async(run())
 
 
-def test_an_outage_of_the_table_leaves_all_ready() -> None:
+def test_table_outage_leaves_all_nodes_ready() -> None:
     """No host serves better than another then: callers are refused at once."""
 
     async def run() -> None:
@@ -249,10 +251,10 @@
             await asyncio.sleep(1.0)
             assert (await ask(running[1], "POST", "/q/0a", JOB)).status == 200
 
-    go(run())
+    run_async(run())
 
 
-def test_an_owner_that_is_cut_off_is_not_ready() -> None:
+def test_isolated_owner_is_not_ready() -> None:
     """It reaches neither table nor peers: its callers are better served elsewhere."""
 
     async def run() -> None:
@@ -262,10 +264,10 @@
             await running[1].stop()
             await until(lambda: not running[0].is_ready(), limit_s=4.0)
 
-    go(run())
+    run_async(run())
 
 
-def test_a_stopped_owner_is_followed_at_once() -> None:
+def test_drained_owner_is_replaced_immediately() -> None:
     """A drained owner releases and tells its peers, which take over."""
 
     async def run() -> None:
@@ -277,18 +279,18 @@
             assert not running[0].is_ready()
             assert (await ask(running[0], "POST", "/q/0a", JOB)).status == 200
 
-    go(run())
+    run_async(run())
 
 
 async def _kill(node: Node) -> None:
     """End a node as a kill does: nothing is released, nobody listens."""
     for server in node._servers:
         await server.kill()
-    for task in list(node._work.tasks):
+    for task in list(node._background.tasks):
         task.cancel()
 
 
-def test_a_killed_owner_is_followed_before_its_lease_is_over(
+def test_killed_owner_is_replaced_before_lease_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nobody listens at its address: its peers need not wait for the lease."""
@@ -299,15 +301,15 @@
             await asyncio.sleep(0.6)
             await _kill(running[0])
             others = running[1:]
-            await until(lambda: any(node._held() for node in others))
+            await until(lambda: any(node._active_owner() for node in others))
             for node in others:
                 reply = await ask(node, "POST", "/q/0a", JOB)
                 assert reply.status == 200
 
-    go(run())
+    run_async(run())
 
 
-def test_an_owner_that_alone_lost_the_table_is_followed_before_its_lease_is_over(
+def test_owner_that_alone_lost_the_table_is_replaced_before_lease_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """By its own word it cannot store; a host that can need not wait for the lease."""
@@ -317,13 +319,13 @@
         async with cell() as made, nodes(made) as running:
             await asyncio.sleep(1.0)
             running[0].adapter.path.cut = True  # type: ignore[attr-defined]
-            await until(lambda: running[1]._held() is not None)
+            await until(lambda: running[1]._active_owner() is not None)
             assert (await ask(running[1], "POST", "/q/0a", JOB)).status == 200
 
-    go(run())
+    run_async(run())
 
 
-def test_a_table_that_is_away_for_all_costs_no_ownership(
+def test_table_outage_for_all_nodes_keeps_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """When it is back it answers some host first: that is no reason to take over."""
@@ -341,17 +343,17 @@
                 path.cut = False
                 await asyncio.sleep(0.1)
             await asyncio.sleep(1.0)
-            assert [node._held() is not None for node in running] == [
+            assert [node._active_owner() is not None for node in running] == [
                 True,
                 False,
                 False,
             ]
             assert running[0]._lease.epoch == 1
 
-    go(run())
+    run_async(run())
 
 
-def test_a_restarted_host_does_not_wait_for_its_own_lease(
+def test_restarted_node_does_not_wait_for_its_own_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """After all were killed, the lease's last holder comes back at the same address."""
@@ -364,14 +366,14 @@
                 await _kill(first)
                 again = Node(adapter=first.adapter, http=HttpClient())
                 await again.start()
-                await until(lambda: again._held() is not None)
+                await until(lambda: again._active_owner() is not None)
                 assert again._lease.epoch == 2
                 await again.stop()
 
-    go(run())
+    run_async(run())
 
 
-def test_a_host_that_is_not_ready_closes_its_callers_channels() -> None:
+def test_unready_node_closes_caller_connections() -> None:
     """An open channel stays with its host; the next try must go elsewhere."""
 
     async def run() -> None:
@@ -382,10 +384,10 @@
                 async with session.get(url, headers={"Host": "host.example"}) as res:
                     assert res.headers["connection"] == "close"
 
-    go(run())
+    run_async(run())
 
 
-def test_a_host_beside_an_owner_that_is_cut_off_is_not_ready() -> None:
+def test_node_beside_isolated_owner_is_not_ready() -> None:
     """An owner without authority is no reason to keep callers in a cut place."""
 
     async def run() -> None:
@@ -398,10 +400,10 @@
             made.table.faults.down = True
             await until(lambda: not other.is_ready(), limit_s=6.0)
 
-    go(run())
+    run_async(run())
 
 
-def test_a_draining_host_follows_a_change_of_the_owner() -> None:
+def test_draining_node_follows_ownership_change() -> None:
     """It still answers the callers that have channels to it, for seconds."""
 
     async def run() -> None:
@@ -418,7 +420,7 @@
             assert not await made.table.scan(prefix="inbox/")
             await stopping
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
@@ -426,7 +428,7 @@
     [(6.0, 0.1, 2.5), (3.0, 0.5, 1.0), (1.0, 0.0, 0.0), (6.0, 9.0, 0.0)],
     ids=["enough", "short", "none", "used up"],
 )
-def test_draining_fits_into_the_time_that_the_platform_gives(
+def test_drain_fits_into_platform_grace_period(
     grace_s: float, spent_s: float, expected: float
 ) -> None:
     """A process that waits longer is killed with answers in flight."""
--- a/tests/test_unasked.py
+++ b/tests/test_orphaned_tasks.py
@@ -4,75 +4,75 @@
 
 import pytest
 
-from cranberrycleat.standins.fleet import Work, Worker
+from cranberrycleat.standins.fleet import SimulatedWork, SimulatedWorker
 from cranberrycleat.workflow.ports import Verdict
 from tests.cell import Cell, cell, job, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 
 @pytest.mark.parametrize("followed", [False, True], ids=["same owner", "successor"])
-def test_a_start_carried_out_after_its_job_was_cancelled_does_not_stay(
+def test_late_start_of_cancelled_job_is_stopped(
     followed: bool,
 ) -> None:
     """The stop that went before makes it void, or the next list shows it."""
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            worker = made.fleet.workers["w0"]
-            worker.lose_starts = 10_000
-            made.fleet.work = lambda task, attempt: Work(seconds=60)
-            owner = await made.own("one")
+        async with cell(workers=1) as running_cell:
+            worker = running_cell.fleet.workers["w0"]
+            worker.unanswered_starts = 10_000
+            running_cell.fleet.work = lambda task, attempt: SimulatedWork(seconds=60)
+            owner = await running_cell.own("one")
             await submit(owner, "a", job(step(1)))
             await until(lambda: bool(worker.late))
             if followed:
-                made.tasks[0].cancel()
-                owner = await made.own("two")
+                running_cell.tasks[0].cancel()
+                owner = await running_cell.own("two")
             assert (await owner.cancel("a")).state == "cancelled"
             order = worker.late[0]
-            verdict = made.fleet.carry_out(worker, order).verdict
+            verdict = running_cell.fleet.carry_out(worker, order).verdict
             assert verdict in (
                 Verdict.ACCEPTED,
                 Verdict.STALE_ATTEMPT,
                 Verdict.STALE_EPOCH,
             )
             await until(lambda: not worker.runs)
-            await _stays_empty(made, worker)
+            await _stays_empty(running_cell, worker)
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("cancelled_by", ["one", "two"])
-def test_a_task_whose_starter_was_removed_is_stopped_with_its_job(
+def test_task_of_replaced_owner_is_stopped_on_cancel(
     cancelled_by: str,
 ) -> None:
     """Who started it is gone for good; who owns now answers for it."""
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            worker = made.fleet.workers["w0"]
-            made.fleet.work = lambda task, attempt: Work(seconds=60)
-            first = await made.own("one")
+        async with cell(workers=1) as running_cell:
+            worker = running_cell.fleet.workers["w0"]
+            running_cell.fleet.work = lambda task, attempt: SimulatedWork(seconds=60)
+            first = await running_cell.own("one")
             await submit(first, "a", job(step(2)))
             await until(lambda: len(worker.runs) == 2)
             if cancelled_by == "one":
                 # Cancelled and stored, and its starter ends before any stop leaves.
-                first.closing = True
-                first.board.cancel("a")
+                first.handing_over = True
+                first.cluster_state.cancel("a")
                 first.changed()
-                await first.confirmed(1.0)
-            made.tasks[0].cancel()
-            second = await made.own("two")
+                await first.batch_stored(1.0)
+            running_cell.tasks[0].cancel()
+            second = await running_cell.own("two")
             if cancelled_by == "two":
                 assert (await second.cancel("a")).state == "cancelled"
             await until(lambda: not worker.runs)
-            await _stays_empty(made, worker)
+            await _stays_empty(running_cell, worker)
 
-    go(run())
+    run_async(run())
 
 
-async def _stays_empty(made: Cell, worker: Worker) -> None:
-    started = len(made.fleet.starts)
+async def _stays_empty(running_cell: Cell, worker: SimulatedWorker) -> None:
+    started = len(running_cell.fleet.starts)
     await asyncio.sleep(0.3)
-    assert len(made.fleet.starts) == started
+    assert len(running_cell.fleet.starts) == started
     assert not worker.runs
-    assert made.fleet.faults == []
+    assert running_cell.fleet.faults == []
--- a/tests/test_permit_choice.py
+++ b/tests/test_permit_choice.py
@@ -8,28 +8,28 @@
 import attrs
 import pytest
 
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.fleet import FleetWorker, times
-from cranberrycleat.workflow.permit_choice import AllowedShare, choose
-from cranberrycleat.workflow.planner import PermitWish, Plan, Planner
-from cranberrycleat.workflow.ports import Permit, PermitPolicy
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.fleet import FleetWorker, how_many_fit
+from cranberrycleat.workflow.permit_choice import AllowedShare, select_workers
+from cranberrycleat.workflow.planner import PermitQuery, Plan, Planner
+from cranberrycleat.workflow.ports import Permit, PermitTiming
 from cranberrycleat.workflow.spec import StepSpec
 from tests.cell import job, queue, step
-from tests.test_planner import board, submit, worker
+from tests.test_planner import cluster_state, submit, worker
 
-POLICY = PermitPolicy(decide_s=0.1, each_s=0.01, valid_s=1.5)
-FLEET = 270
+POLICY = PermitTiming(decide_s=0.1, each_s=0.01, valid_s=1.5)
+FLEET_SIZE = 270
 
 
-def _workers(free: int, count: int = FLEET) -> list[FleetWorker]:
+def _workers(free: int, count: int = FLEET_SIZE) -> list[FleetWorker]:
     """Return workers of four processors that have some thousandths free."""
-    made = [worker(f"w{number:03}") for number in range(count)]
-    for each in made:
+    workers = [worker(f"w{number:03}") for number in range(count)]
+    for each in workers:
         each.free = attrs.evolve(each.free, processors=free)
-    return made
+    return workers
 
 
-def _choose(
+def _select(
     spec: StepSpec,
     *,
     unknown: list[FleetWorker],
@@ -37,13 +37,13 @@
     share: float = 0.5,
     name: str = "a.0.0",
 ) -> list[FleetWorker]:
-    return choose(
+    return select_workers(
         step_name=name,
         pending=spec.count,
         allowed=allowed,
         unknown=unknown,
-        seats_now=lambda each: times(spec.needs, each.free),
-        seats_ever=lambda each: times(spec.needs, each.entry.capacity),
+        fits_now=lambda each: how_many_fit(spec.needs, each.free),
+        fits_when_empty=lambda each: how_many_fit(spec.needs, each.entry.capacity),
         share=share,
     )
 
@@ -59,34 +59,34 @@
         # Nowhere is room: a whole call's worth is asked about ahead.
         (step(3), 0, 0.7, 100, 100),
         # More than all together could hold: all are asked.
-        (step(2000), 4000, 0.5, FLEET, FLEET),
+        (step(2000), 4000, 0.5, FLEET_SIZE, FLEET_SIZE),
     ],
 )
-def test_as_many_are_asked_about_as_the_step_may_need(
+def test_query_size_matches_step_demand(
     spec: StepSpec, free: int, share: float, least: int, most: int
 ) -> None:
-    chosen = _choose(spec, unknown=_workers(free), share=share)
+    chosen = _select(spec, unknown=_workers(free), share=share)
     assert least <= len(chosen) <= most
     assert len({each.name for each in chosen}) == len(chosen)
 
 
-def test_workers_with_room_come_first() -> None:
+def test_workers_with_free_resources_come_first() -> None:
     workers = _workers(0)
     for each in workers[100:130]:
         each.free = attrs.evolve(each.free, processors=4000)
-    chosen = _choose(step(3), unknown=workers)
+    chosen = _select(step(3), unknown=workers)
     assert chosen and {each.name for each in chosen} <= {
         each.name for each in workers[100:130]
     }
 
 
-def test_where_room_is_scarce_one_call_asks_about_many() -> None:
+def test_scarce_resources_fill_a_whole_call() -> None:
     """In a backlog few have room, and others take it while a call is answered."""
     workers = _workers(0)
     for each in workers[100:102]:
         each.free = attrs.evolve(each.free, processors=1000)
     full = tuple(_workers(0, 20))
-    again = _choose(step(3), allowed=full, unknown=workers)
+    again = _select(step(3), allowed=full, unknown=workers)
     assert len(again) == 100
     assert {each.name for each in again[:2]} == {"w100", "w101"}
 
@@ -96,20 +96,20 @@
     [(1000, 1000, False), (0, 1000, True), (0, 0, False)],
     ids=["enough is allowed", "only others have room", "nobody has room"],
 )
-def test_more_is_asked_only_where_it_can_help(
+def test_further_workers_are_queried_only_if_useful(
     allowed_free: int, unknown_free: int, asks: bool
 ) -> None:
     allowed, unknown = _workers(allowed_free, 20), _workers(unknown_free)
-    chosen = _choose(step(3), allowed=tuple(allowed), unknown=unknown)
+    chosen = _select(step(3), allowed=tuple(allowed), unknown=unknown)
     assert bool(chosen) is asks
 
 
-def test_where_nobody_has_room_steps_ask_about_different_workers() -> None:
+def test_steps_query_different_workers_on_full_pool() -> None:
     workers = _workers(0)
     found = {
         frozenset(
             each.name
-            for each in _choose(
+            for each in _select(
                 step(1), unknown=workers, share=0.7, name=f"{number}.0.0"
             )
         )
@@ -118,34 +118,34 @@
     assert len(found) > 10
 
 
-def test_the_fullest_workers_with_room_are_asked_about_first() -> None:
+def test_fullest_fitting_workers_are_queried_first() -> None:
     """So that short tasks fill gaps and leave wide ones whole workers."""
-    workers = [worker(f"w{number:03}") for number in range(FLEET)]
-    made = board(*workers)
+    workers = [worker(f"w{number:03}") for number in range(FLEET_SIZE)]
+    owner_board = cluster_state(*workers)
     for number in range(40):
-        submit(made, f"x{number}", job(step(1, processors=3000)), queue())
-    _plan(Planner(board=made))
+        submit(owner_board, f"x{number}", job(step(1, processors=3000)), queue())
+    _plan(Planner(cluster_state=owner_board))
     gaps = {each.name for each in workers if each.placements}
-    submit(made, "a", job(step(3)), queue(permits=POLICY))
-    (wish,) = _plan(Planner(board=made)).wishes
-    assert len(gaps) == 40 and set(wish.workers) <= gaps
+    submit(owner_board, "a", job(step(3)), queue(permits=POLICY))
+    (query,) = _plan(Planner(cluster_state=owner_board)).permit_queries
+    assert len(gaps) == 40 and set(query.workers) <= gaps
 
 
-def test_the_share_that_is_allowed_is_learned_and_forgotten() -> None:
+def test_allowed_share_adapts_to_recent_answers() -> None:
     share = AllowedShare()
     for _ in range(50):
-        share.take(asked=100, allowed=25)
+        share.record(asked=100, allowed=25)
     assert share.value() == pytest.approx(0.25, abs=0.02)
     for _ in range(50):
-        share.take(asked=100, allowed=70)
+        share.record(asked=100, allowed=70)
     assert share.value() == pytest.approx(0.7, abs=0.02)
     for _ in range(50):
-        share.take(asked=100, allowed=0)
+        share.record(asked=100, allowed=0)
     assert share.value() > 0
 
 
-def _plan(made: Planner) -> Plan:
-    return made.plan(now=0.0, now_s=1_000_000.0)
+def _plan(planner: Planner) -> Plan:
+    return planner.plan(now=0.0, now_s=1_000_000.0)
 
 
 @pytest.mark.parametrize(
@@ -157,58 +157,62 @@
     ],
     ids=["same rack", "near its data", "service"],
 )
-def test_steps_that_choose_among_places_ask_about_all(spec: StepSpec) -> None:
-    made = board(*_workers(4000))
-    submit(made, "a", job(spec), queue(permits=POLICY))
-    wishes = _plan(Planner(board=made)).wishes
-    assert [len(wish.workers) for wish in wishes] == [FLEET]
-
-
-def test_a_step_is_placed_on_what_it_asked_about_and_asks_again_for_the_rest() -> None:
-    made = board(*(worker(f"w{n:03}", processors=1000) for n in range(FLEET)))
-    submit(made, "a", job(step(3)), queue(permits=POLICY))
-    planner = Planner(board=made)
-    (first,) = _plan(planner).wishes
-    permits = made.permits["a.0.0"]
+def test_topology_dependent_steps_query_all_workers(spec: StepSpec) -> None:
+    owner_board = cluster_state(*_workers(4000))
+    submit(owner_board, "a", job(spec), queue(permits=POLICY))
+    permit_queries = _plan(Planner(cluster_state=owner_board)).permit_queries
+    assert [len(query.workers) for query in permit_queries] == [FLEET_SIZE]
+
+
+def test_partially_placed_step_queries_further_workers() -> None:
+    owner_board = cluster_state(
+        *(worker(f"w{n:03}", processors=1000) for n in range(FLEET_SIZE))
+    )
+    submit(owner_board, "a", job(step(3)), queue(permits=POLICY))
+    planner = Planner(cluster_state=owner_board)
+    (first,) = _plan(planner).permit_queries
+    permits = owner_board.permits["a.0.0"]
     only = Permit(worker=first.workers[0], ticket="t")
-    permits.take(first.workers, (only,), 0.0)
+    permits.record_answer(first.workers, (only,), 0.0)
     found = _plan(planner)
     assert [worker.name for worker, _ in found.groups[0].placements] == [only.worker]
-    (second,) = _plan(planner).wishes
+    (second,) = _plan(planner).permit_queries
     assert not set(first.workers) & set(second.workers)
 
 
-def _answer(made: Board, wish: PermitWish, allowed: int) -> None:
+def _answer(owner_board: ClusterState, query: PermitQuery, allowed: int) -> None:
     """Have the service allow the first workers of a wish."""
-    permits = tuple(Permit(worker=name, ticket="t") for name in wish.workers[:allowed])
-    made.permits[wish.step.name].take(wish.workers, permits, 0.0)
+    permits = tuple(Permit(worker=name, ticket="t") for name in query.workers[:allowed])
+    owner_board.permits[query.step.name].record_answer(query.workers, permits, 0.0)
 
 
-def test_a_step_that_is_kept_apart_asks_about_workers_that_it_may_still_use() -> None:
+def test_per_worker_limit_excludes_used_workers_from_count() -> None:
     """Workers that hold one of its tasks have room, and no seat for another."""
-    made = board(*_workers(4000))
+    owner_board = cluster_state(*_workers(4000))
     spec = step(20, most_per_worker=1)
-    submit(made, "a", job(spec), queue(permits=POLICY))
-    planner = Planner(board=made)
-    (wish,) = _plan(planner).wishes
-    _answer(made, wish, 17)
+    submit(owner_board, "a", job(spec), queue(permits=POLICY))
+    planner = Planner(cluster_state=owner_board)
+    (query,) = _plan(planner).permit_queries
+    _answer(owner_board, query, 17)
     _plan(planner)
-    assert len(made.jobs["a"].open[0].steps[0].pending()) == 3
-    assert _plan(planner).wishes
+    assert len(owner_board.jobs["a"].open[0].steps[0].pending()) == 3
+    assert _plan(planner).permit_queries
 
 
-def test_a_task_that_failed_everywhere_it_may_go_asks_about_others() -> None:
+def test_failed_workers_are_excluded_from_count() -> None:
     """Its workers have room, but those that failed it are passed over."""
-    made = board(*(worker(f"w{n:03}", processors=1000) for n in range(FLEET)))
-    submit(made, "a", job(step(1)), queue(permits=POLICY))
-    submit(made, "b", job(step(2)), queue(priority=1))
-    planner = Planner(board=made)
-    (wish,) = _plan(planner).wishes
-    _answer(made, wish, 2)
-    task = made.jobs["a"].open[0].steps[0].tasks[0]
-    failed, full = (made.fleet.workers[name] for name in wish.workers[:2])
+    owner_board = cluster_state(
+        *(worker(f"w{n:03}", processors=1000) for n in range(FLEET_SIZE))
+    )
+    submit(owner_board, "a", job(step(1)), queue(permits=POLICY))
+    submit(owner_board, "b", job(step(2)), queue(priority=1))
+    planner = Planner(cluster_state=owner_board)
+    (query,) = _plan(planner).permit_queries
+    _answer(owner_board, query, 2)
+    task = owner_board.jobs["a"].open[0].steps[0].tasks[0]
+    failed, full = (owner_board.fleet.workers[name] for name in query.workers[:2])
     task.failed_on.add(failed.name)
     failed.failures = 1
-    other = made.jobs["b"].open[0].steps[0].tasks[0]
-    made.place(other, full, 1, now=0.0)
-    assert _plan(planner).wishes
+    other = owner_board.jobs["b"].open[0].steps[0].tasks[0]
+    owner_board.place(other, full, 1, now=0.0)
+    assert _plan(planner).permit_queries
--- a/tests/test_permit_queue.py
+++ b/tests/test_permit_queue.py
@@ -7,19 +7,19 @@
 from cranberrycleat.clock import MonotonicClock
 from cranberrycleat.http_client import HttpClient
 from cranberrycleat.workflow.peering import PeerClient, PermitRequest
-from cranberrycleat.workflow.permit_queue import LANE_DEPTH, PermitQueue
+from cranberrycleat.workflow.permit_queue import MAX_CALLS_PER_HOST, PermitQueue
 from cranberrycleat.workflow.permits import StepPermits
-from cranberrycleat.workflow.ports import Permit, PermitPolicy, PermitUnavailable
-from tests.fakes import go
+from cranberrycleat.workflow.ports import Permit, PermitTiming, PermitUnavailable
+from tests.fakes import run_async
 
-POLICY = PermitPolicy(decide_s=0.02, each_s=0.0, valid_s=5.0)
+POLICY = PermitTiming(decide_s=0.02, each_s=0.0, valid_s=5.0)
 
 
 @attrs.define(kw_only=True, eq=False)
-class OneAtATime:
+class SerialPermitService:
     """A permit service as one host sees it: it refuses when too many wait."""
 
-    most: int = 0
+    max_waiting: int = 0
     waiting: int = 0
     steps: list[str] = attrs.field(factory=list)
     down: bool = False
@@ -31,7 +31,7 @@
         if self.down:
             raise PermitUnavailable("down")
         self.waiting += 1
-        self.most = max(self.most, self.waiting)
+        self.max_waiting = max(self.max_waiting, self.waiting)
         await asyncio.sleep(POLICY.decide_s * self.waiting)
         self.waiting -= 1
         self.steps.append(step)
@@ -42,7 +42,7 @@
 class Peers(PeerClient):
     """Other hosts, each with its own way to the service."""
 
-    hosts: dict[str, OneAtATime] = attrs.field(factory=dict)
+    hosts: dict[str, SerialPermitService] = attrs.field(factory=dict)
 
     async def permits(self, address: str, req: PermitRequest) -> tuple[Permit, ...]:
         """Ask from another host."""
@@ -51,7 +51,9 @@
         )
 
 
-def permit_queue(own: OneAtATime, others: dict[str, OneAtATime]) -> PermitQueue:
+def permit_queue(
+    own: SerialPermitService, others: dict[str, SerialPermitService]
+) -> PermitQueue:
     """Return a permit_queue with some other hosts."""
     return PermitQueue(
         own=own,
@@ -62,14 +64,14 @@
     )
 
 
-def test_a_burst_never_floods_one_host_and_urgent_steps_go_first() -> None:
+def test_burst_respects_host_limit_and_urgency() -> None:
     """After a takeover every waiting step asks at once, and only one host is known."""
-    own = OneAtATime()
+    own = SerialPermitService()
 
     async def run() -> None:
-        made = permit_queue(own, {})
+        queue = permit_queue(own, {})
         asks = [
-            made.ask(
+            queue.ask(
                 f"s{number}",
                 ("w",),
                 StepPermits(policy=POLICY),
@@ -79,55 +81,60 @@
         ]
         assert all(await asyncio.gather(*asks))
 
-    go(run())
-    assert own.most <= LANE_DEPTH
+    run_async(run())
+    assert own.max_waiting <= MAX_CALLS_PER_HOST
     # The first two lanes were taken before the urgent ones came.
-    assert set(own.steps[LANE_DEPTH : LANE_DEPTH + 4]) == {"s8", "s9", "s10", "s11"}
+    assert set(own.steps[MAX_CALLS_PER_HOST : MAX_CALLS_PER_HOST + 4]) == {
+        "s8",
+        "s9",
+        "s10",
+        "s11",
+    }
 
 
-def test_calls_are_spread_over_the_hosts() -> None:
+def test_calls_are_balanced_over_hosts() -> None:
     """With other hosts at hand, one host does not do all the asking."""
-    own, other = OneAtATime(), OneAtATime()
+    own, other = SerialPermitService(), SerialPermitService()
 
     async def run() -> None:
-        made = permit_queue(own, {"other": other})
+        queue = permit_queue(own, {"other": other})
         permits = [StepPermits(policy=POLICY) for _ in range(8)]
         asks = [
-            made.ask(f"s{n}", ("w",), each, (0, 0, 0.0, ""))
+            queue.ask(f"s{n}", ("w",), each, (0, 0, 0.0, ""))
             for n, each in enumerate(permits)
         ]
         assert all(await asyncio.gather(*asks))
-        assert all(each.valid("w", MonotonicClock().now()) for each in permits)
+        assert all(each.valid_ticket("w", MonotonicClock().now()) for each in permits)
 
-    go(run())
+    run_async(run())
     assert len(own.steps) == len(other.steps) == 4
 
 
-def test_a_host_without_answer_is_passed_over() -> None:
+def test_unresponsive_host_is_skipped() -> None:
     """The call goes out again from another host."""
-    own, other = OneAtATime(), OneAtATime(down=True)
+    own, other = SerialPermitService(), SerialPermitService(down=True)
 
     async def run() -> None:
-        made = permit_queue(own, {"another": other})
+        queue = permit_queue(own, {"another": other})
         for number in range(4):
             permits = StepPermits(policy=POLICY)
-            assert await made.ask(f"s{number}", ("w",), permits, (0, 0, 0.0, ""))
+            assert await queue.ask(f"s{number}", ("w",), permits, (0, 0, 0.0, ""))
 
-    go(run())
+    run_async(run())
     assert len(own.steps) == 4
 
 
-def test_of_idle_hosts_the_first_named_is_asked() -> None:
+def test_nearest_idle_host_is_preferred() -> None:
     """Calls to another data centre are dear: the nearest are named first."""
-    own, near, far = OneAtATime(), OneAtATime(), OneAtATime()
+    own, near, far = SerialPermitService(), SerialPermitService(), SerialPermitService()
 
     async def run() -> None:
-        made = permit_queue(own, {"z-near": near, "a-far": far})
+        queue = permit_queue(own, {"z-near": near, "a-far": far})
         asks = [
-            made.ask(f"s{n}", ("w",), StepPermits(policy=POLICY), (0, 0, 0.0, ""))
+            queue.ask(f"s{n}", ("w",), StepPermits(policy=POLICY), (0, 0, 0.0, ""))
             for n in range(2)
         ]
         assert all(await asyncio.gather(*asks))
 
-    go(run())
+    run_async(run())
     assert (len(own.steps), len(near.steps), len(far.steps)) == (1, 1, 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,31 +9,36 @@
 
 from cranberrycleat import plugins, selectors
 from cranberrycleat.amounts import NOTHING, Amounts
-from cranberrycleat.book import BookWorker, CapacityBook, CapacityError, WorkerState
+from cranberrycleat.inventory import (
+    CapacityError,
+    InventoryWorker,
+    WorkerInventory,
+    WorkerState,
+)
 from cranberrycleat.jobs import JobRow, JobSpec, Kind, TaskRecord, TaskState
 from cranberrycleat.messages import InboxEntry, JobPart, Outcome, TaskReport
-from cranberrycleat.placement import Ask
-from cranberrycleat.rounds import RoundPlanner, TeamUse
+from cranberrycleat.placement import PlacementRequest
+from cranberrycleat.rounds import RoundPlanner, TeamUsage
 from cranberrycleat.shard import Shard
 from tests.fakes import host
 
 assert plugins
 
 
-def worker(name: str, cpu: int = 8, rack: str = "r1", **more: Any) -> BookWorker:
+def worker(name: str, cpu: int = 8, rack: str = "r1", **more: Any) -> InventoryWorker:
     """Return a worker with as many gigabytes as processors."""
     capacity = Amounts(processors=cpu * 1000, memory_mb=cpu * 1024, **more)
-    return BookWorker(
+    return InventoryWorker(
         name=name, data_centre="dc", rack=rack, labels={"rack": rack}, capacity=capacity
     )
 
 
-def ask(
+def request(
     job: str, cpu: int, count: int = 1, kind: Kind = Kind.BATCH, **more: Any
-) -> Ask:
+) -> PlacementRequest:
     """Return an ask for tasks of so many processors."""
     given: dict[str, Any] = {"team": "t", "rank": 1, **more}
-    return Ask(
+    return PlacementRequest(
         job=job,
         kind=kind,
         needs=Amounts(processors=cpu * 1000, memory_mb=1024),
@@ -43,72 +48,74 @@
     )
 
 
-def planner(*workers: BookWorker) -> RoundPlanner:
+def planner(*workers: InventoryWorker) -> RoundPlanner:
     """Return a planner over some workers."""
-    book = CapacityBook()
-    whole = NOTHING
+    inventory = WorkerInventory()
+    total_capacity = NOTHING
     for each in workers:
-        book.add_worker(each)
-        whole = whole.plus(each.capacity)
-    return RoundPlanner(book=book, whole=whole)
+        inventory.add_worker(each)
+        total_capacity = total_capacity.plus(each.capacity)
+    return RoundPlanner(inventory=inventory, total_capacity=total_capacity)
 
 
-def places(plan: Any) -> dict[str, str]:
+def placements(plan: Any) -> dict[str, str]:
     """Return where a plan puts each task."""
     return {each.task: each.worker for each in plan.assignments}
 
 
-DECISIONS = [
+PLACEMENT_CASES = [
     # name, workers, asks, expected places
-    ("tightest fit", [("a", 8), ("b", 4)], [ask("j", 3)], {"j/0": "b"}),
-    ("next fit", [("a", 8), ("b", 4)], [ask("j", 5)], {"j/0": "a"}),
+    ("tightest fit", [("a", 8), ("b", 4)], [request("j", 3)], {"j/0": "b"}),
+    ("next fit", [("a", 8), ("b", 4)], [request("j", 5)], {"j/0": "a"}),
     (
         "urgent first",
         [("a", 4)],
-        [ask("low", 4, rank=2), ask("urgent", 4, rank=0)],
+        [request("low", 4, rank=2), request("urgent", 4, rank=0)],
         {"urgent/0": "a"},
     ),
     (
         "all of a gang",
         [("a", 4), ("b", 4)],
-        [ask("g", 4, 2, Kind.GANG)],
+        [request("g", 4, 2, Kind.GANG)],
         {"g/0": "a", "g/1": "b"},
     ),
-    ("or none of it", [("a", 4), ("b", 4)], [ask("g", 4, 3, Kind.GANG)], {}),
+    ("or none of it", [("a", 4), ("b", 4)], [request("g", 4, 3, Kind.GANG)], {}),
     (
         "small work goes past a gang that does not fit",
         [("a", 4), ("b", 4)],
-        [ask("g", 4, 3, Kind.GANG, rank=0), ask("j", 1)],
+        [request("g", 4, 3, Kind.GANG, rank=0), request("j", 1)],
         {"j/0": "a"},
     ),
     (
         "as many of a batch as fit",
         [("a", 4)],
-        [ask("j", 2, 3)],
+        [request("j", 2, 3)],
         {"j/0": "a", "j/1": "a"},
     ),
-    ("a selector", [("a", 8), ("b", 4)], [ask("j", 3, selector="rack = r2")], {}),
+    ("a selector", [("a", 8), ("b", 4)], [request("j", 3, selector="rack = r2")], {}),
 ]
 
 
 @pytest.mark.parametrize(
     ("workers", "asks", "expected"),
-    [case[1:] for case in DECISIONS],
-    ids=[case[0] for case in DECISIONS],
+    [case[1:] for case in PLACEMENT_CASES],
+    ids=[case[0] for case in PLACEMENT_CASES],
 )
-def test_decision(
-    workers: list[tuple[str, int]], asks: list[Ask], expected: dict[str, str]
+def test_placement_decision(
+    workers: list[tuple[str, int]],
+    asks: list[PlacementRequest],
+    expected: dict[str, str],
 ) -> None:
     """Who gets which place."""
-    made = planner(*[worker(name, cpu) for name, cpu in workers])
-    assert places(made.plan(asks)) == expected
+    round_planner = planner(*[worker(name, cpu) for name, cpu in workers])
+    assert placements(round_planner.plan(asks)) == expected
 
 
 def test_services_spread_over_racks_and_hosts() -> None:
     """Replicas go to different racks first, then to different hosts."""
-    made = planner(*[worker(f"w{n}", rack=f"r{n % 3}") for n in range(6)])
-    plan = made.plan([ask("s", 1, 6, Kind.SERVICE)])
-    assert sorted(places(plan).values()) == [f"w{n}" for n in range(6)]
+    round_planner = planner(*[worker(f"w{n}", rack=f"r{n % 3}") for n in range(6)])
+    plan = round_planner.plan([request("s", 1, 6, Kind.SERVICE)])
+    assert sorted(placements(plan).values()) == [f"w{n}" for n in range(6)]
     first = [each.worker for each in plan.assignments[:3]]
     assert len({int(name[1]) % 3 for name in first}) == 3
 
@@ -124,16 +131,20 @@
 )
 def test_quota(quota: float, kind: Kind, placed: int) -> None:
     """A team gets no more than its share; a gang all or nothing of it."""
-    made = planner(worker("a", 8))
-    made.teams["t"] = TeamUse(quota=quota)
-    assert len(made.plan([ask("j", 2, 4, kind)]).assignments) == placed
+    round_planner = planner(worker("a", 8))
+    round_planner.teams["t"] = TeamUsage(quota=quota)
+    assert len(round_planner.plan([request("j", 2, 4, kind)]).assignments) == placed
 
 
-def test_what_can_never_run_is_said_with_reasons() -> None:
+def test_unsatisfiable_jobs_are_reported_with_reasons() -> None:
     """Too large, or matched by nobody, is told from what just waits."""
-    made = planner(worker("a", 4))
-    asks = [ask("big", 9), ask("nobody", 1, selector="x"), ask("fits", 4, 2)]
-    found = {each.job: each for each in made.plan(asks).refusals}
+    round_planner = planner(worker("a", 4))
+    requests = [
+        request("big", 9),
+        request("nobody", 1, selector="x"),
+        request("fits", 4, 2),
+    ]
+    found = {each.job: each for each in round_planner.plan(requests).unplaced}
     assert {name: each.never for name, each in found.items()} == {
         "big": True,
         "nobody": True,
@@ -145,35 +156,37 @@
 @pytest.mark.parametrize(
     ("reported", "counted"), [(1, 2), (2, 2), (5, 5)], ids=["less", "same", "more"]
 )
-def test_late_reports_count_if_larger(reported: int, counted: int) -> None:
+def test_task_counts_with_larger_of_declared_and_reported(
+    reported: int, counted: int
+) -> None:
     """A task is counted with the larger of declared and reported use."""
-    book = CapacityBook()
-    book.add_worker(worker("a", 4))
+    inventory = WorkerInventory()
+    inventory.add_worker(worker("a", 4))
     declared = Amounts(processors=2000)
-    book.reserve("a", "j/0", declared)
-    book.report("a", "j/0", declared, Amounts(processors=reported * 1000))
-    assert book.workers["a"].used.processors == counted * 1000
-    assert book.workers["a"].overfull is (counted > 4)
+    inventory.allocate("a", "j/0", declared)
+    inventory.report("a", "j/0", declared, Amounts(processors=reported * 1000))
+    assert inventory.workers["a"].used.processors == counted * 1000
+    assert inventory.workers["a"].overcommitted is (counted > 4)
     with pytest.raises(CapacityError):
-        book.reserve("a", "j/1", Amounts(processors=(4 - counted) * 1000 + 1))
+        inventory.allocate("a", "j/1", Amounts(processors=(4 - counted) * 1000 + 1))
 
 
-def test_new_owner_counts_what_it_finds() -> None:
+def test_new_owner_counts_running_tasks() -> None:
     """After a takeover nothing is placed on top of what runs already."""
     spec = JobSpec(name="old", kind=Kind.BATCH, processors=3.0)
     record = TaskRecord(index=0, state=TaskState.PLACED, attempt=1, worker="w1")
     shard = Shard(data_centre="dc-a")
     shard._load_job(JobRow(spec=spec, data_centre="dc-a", tasks=[record]))
-    shard.learn_hosts([host("w1", processors=4)])
-    shard.worker_answers("w1")
+    shard.update_hosts([host("w1", processors=4)])
+    shard.worker_responded("w1")
     more = JobSpec(name="new", kind=Kind.BATCH, processors=2.0)
-    shard.take(InboxEntry(id="1", submit=JobPart(spec=more, indices=(0,))))
+    shard.apply_change(InboxEntry(id="1", submit=JobPart(spec=more, indices=(0,))))
     assert shard.plan().assignments == ()
-    assert shard.book.workers["w1"].used.processors == 3000
+    assert shard.inventory.workers["w1"].used.processors == 3000
 
 
 @attrs.define
-class Sizes:
+class Strategies:
     """What the random histories draw from."""
 
     cpu = st.integers(1, 6)
@@ -183,19 +196,24 @@
     number = st.integers(0, 30)
 
 
-class ShardMachine(RuleBasedStateMachine):
+class ShardStateMachine(RuleBasedStateMachine):
     """Any order of submissions, rounds, ends, failures, cancellations, losses."""
 
     def __init__(self) -> None:
         super().__init__()
         self.shard = Shard(data_centre="dc-a")
-        self.shard.learn_hosts([host(f"w{n}", processors=4 + 2 * n) for n in range(4)])
-        for name in self.shard.book.workers:
-            self.shard.worker_answers(name)
-        self.shard.planner.teams["u"] = TeamUse(quota=0.4)
+        self.shard.update_hosts([host(f"w{n}", processors=4 + 2 * n) for n in range(4)])
+        for name in self.shard.inventory.workers:
+            self.shard.worker_responded(name)
+        self.shard.planner.teams["u"] = TeamUsage(quota=0.4)
         self.count = 0
 
-    @rule(cpu=Sizes.cpu, count=Sizes.count, kind=Sizes.kind, team=Sizes.team)
+    @rule(
+        cpu=Strategies.cpu,
+        count=Strategies.count,
+        kind=Strategies.kind,
+        team=Strategies.team,
+    )
     def submit(self, cpu: int, count: int, kind: Kind, team: str) -> None:
         """A job comes."""
         self.count += 1
@@ -203,7 +221,7 @@
             name=f"j{self.count}", kind=kind, team=team, processors=float(cpu)
         )
         part = JobPart(spec=spec, indices=tuple(range(count)))
-        self.shard.take(InboxEntry(id="x", submit=part))
+        self.shard.apply_change(InboxEntry(id="x", submit=part))
 
     @rule()
     def round(self) -> None:
@@ -211,13 +229,13 @@
         self.shard.confirm(self.shard.plan())
 
     @rule(
-        number=Sizes.number,
+        number=Strategies.number,
         outcome=st.sampled_from(list(Outcome)),
         cpu=st.integers(0, 3),
     )
     def report(self, number: int, outcome: Outcome, cpu: int) -> None:
         """A worker says something about one of its tasks."""
-        placed = sorted(self.shard.live)
+        placed = sorted(self.shard.active)
         if placed:
             task = placed[number % len(placed)]
             record = self.shard.record(task)
@@ -229,27 +247,27 @@
                 ),
             )
 
-    @rule(number=Sizes.number)
+    @rule(number=Strategies.number)
     def cancel(self, number: int) -> None:
         """An operator cancels a job."""
-        self.shard.take(InboxEntry(id="y", cancel=f"j{number}"))
+        self.shard.apply_change(InboxEntry(id="y", cancel=f"j{number}"))
 
     @rule(number=st.integers(0, 3))
-    def lose_worker(self, number: int) -> None:
+    def expire_worker(self, number: int) -> None:
         """A worker falls silent, its leases run out, and it comes back."""
         self.shard.worker_silent(f"w{number}")
-        self.shard.leases_over(f"w{number}", keep=True)
-        self.shard.worker_answers(f"w{number}")
+        self.shard.expire_leases(f"w{number}", keep=True)
+        self.shard.worker_responded(f"w{number}")
 
     @invariant()
-    def capacity_holds(self) -> None:
+    def capacity_is_not_exceeded(self) -> None:
         """No worker is over capacity, and the book's sums are right."""
-        for each in self.shard.book.workers.values():
+        for each in self.shard.inventory.workers.values():
             total = NOTHING
             for needs in each.tasks.values():
                 total = total.plus(needs)
             assert total == each.used
-            assert not each.overfull
+            assert not each.overcommitted
             assert each.state in (WorkerState.LIVE, WorkerState.QUARANTINED)
 
     @invariant()
@@ -263,13 +281,13 @@
         }
         counted = {
             task: each.name
-            for each in self.shard.book.workers.values()
+            for each in self.shard.inventory.workers.values()
             for task in each.tasks
         }
         assert placed == counted
 
     @invariant()
-    def gangs_start_together(self) -> None:
+    def no_partial_gang_placement(self) -> None:
         """A gang that waits for a place holds none, unless it is stopping."""
         for job in self.shard.jobs.values():
             if job.spec.kind is not Kind.GANG:
@@ -277,18 +295,18 @@
             states = {each.state for each in job.tasks}
             if {TaskState.PENDING, TaskState.PLACED} <= states:
                 stopping = [
-                    self.shard.live[f"{job.spec.name}/{each.index}"].stopping
+                    self.shard.active[f"{job.spec.name}/{each.index}"].stopping
                     for each in job.tasks
                     if each.state is TaskState.PLACED
                 ]
                 assert all(stopping)
 
     @invariant()
-    def quota_holds(self) -> None:
+    def quota_is_not_exceeded(self) -> None:
         """A team with a quota never uses more than its share."""
-        whole = self.shard.planner.whole.processors
+        total_capacity = self.shard.planner.total_capacity.processors
         used = self.shard.planner.teams["u"].used.processors
-        assert used <= 0.4 * whole
+        assert used <= 0.4 * total_capacity
         counted = sum(
             record.state is TaskState.PLACED and job.spec.needs.processors
             for job in self.shard.jobs.values()
@@ -298,7 +316,7 @@
         assert counted == used
 
 
-ShardMachine.TestCase.settings = settings(
+ShardStateMachine.TestCase.settings = settings(
     max_examples=100, stateful_step_count=40, deadline=None, derandomize=True
 )
-test_any_order_of_events = ShardMachine.TestCase
+test_any_order_of_events = ShardStateMachine.TestCase
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -26,7 +26,7 @@
 from cranberrycleat.table import Check, Put, Row, Transaction
 from cranberrycleat.workflow.ports import (
     EndKind,
-    HistoryGone,
+    HistoryExpired,
     OrderReply,
     PermitUnavailable,
     StartOrder,
@@ -36,13 +36,13 @@
     WorkerReplaced,
     WorkerUnreachable,
 )
-from tests.fakes import go
+from tests.fakes import run_async
 
 PAGE = 3
 
 
 @attrs.define(kw_only=True, eq=False)
-class Stand:
+class FakePlatform:
     """An HTTP stand-in: a store by the platform's page, and canned answers.
 
     Attributes:
@@ -117,14 +117,14 @@
 
 
 @contextlib.asynccontextmanager
-async def stand() -> AsyncIterator[tuple[Stand, str, HttpClient]]:
+async def run_fake_platform() -> AsyncIterator[tuple[FakePlatform, str, HttpClient]]:
     """Run a stand-in on loopback."""
-    made = Stand()
-    server = HttpServer(app=made, host="127.0.0.1", port=0)
+    fake = FakePlatform()
+    server = HttpServer(app=fake, host="127.0.0.1", port=0)
     await server.start()
     http = HttpClient()
     try:
-        yield made, f"127.0.0.1:{server.port}", http
+        yield fake, f"127.0.0.1:{server.port}", http
     finally:
         await http.close()
         await server.stop()
@@ -137,11 +137,11 @@
     )
 
 
-def test_rows_are_written_once_and_read_page_by_page() -> None:
+def test_conditional_writes_and_paged_reads() -> None:
     """Conditions, conflicts, pages and deletions, as the page on the store says."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             store = PlatformStore(address=address, http=http)
             for number in range(7):
                 reply = await store.commit(put(f"jobs/{number}", f"täxt {number}"))
@@ -156,22 +156,22 @@
                 "jobs/1"
             ]
 
-    go(run())
+    run_async(run())
 
 
-def test_the_inbox_has_a_part_of_its_own() -> None:
+def test_inbox_uses_dedicated_part() -> None:
     """What doors write must not keep the owner's transactions waiting."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             store = PlatformStore(address=address, http=http)
             for key in ("inbox/a", "jobs/a", "owner/cell", "specs/a"):
                 await store.commit(put(key))
-            parts = {table: part for table, part, _ in made.rows}
+            parts = {table: part for table, part, _ in fake.rows}
             assert parts["inbox"] != parts["jobs"]
             assert parts["jobs"] == parts["owner"] == parts["specs"]
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
@@ -180,22 +180,20 @@
         (429, errors.TableRefused),
         (503, errors.TableRefused),
         (500, errors.TableUnavailable),
-        (410, HistoryGone),
+        (410, HistoryExpired),
     ],
 )
-def test_what_a_store_that_does_not_serve_means(
-    status: int, expected: type[Exception]
-) -> None:
+def test_store_error_statuses(status: int, expected: type[Exception]) -> None:
     """A refusal did nothing; anything else may have."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             store = PlatformStore(address=address, http=http)
-            made.canned["/api/rows-feed"] = (status, {})
+            fake.canned["/api/rows-feed"] = (status, {})
             with pytest.raises(expected):
                 await store.follow(table="op", after=3, wait_s=0.0)
 
-    go(run())
+    run_async(run())
 
 
 ENTRY = WorkerEntry(
@@ -230,13 +228,13 @@
         (200, "no object", WorkerUnreachable),
     ],
 )
-def test_a_worker_s_answers(status: int, body: Any, expected: Any) -> None:
+def test_worker_order_replies(status: int, body: Any, expected: Any) -> None:
     """Every answer of the page, and some that it does not have."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             client = PlatformWorkers(http=http)
-            made.canned["/api/run-start"] = (status, body)
+            fake.canned["/api/run-start"] = (status, body)
             entry = attrs.evolve(ENTRY, address=address)
             if isinstance(expected, type):
                 with pytest.raises(expected):
@@ -244,7 +242,7 @@
                 return
             reply = await client.start(entry, ORDER, limit_s=0.5)
             assert expected in (reply, reply.verdict)
-            path, sent, headers = made.seen[0]
+            path, sent, headers = fake.seen[0]
             assert headers[b"expect-instance"] == b"i-1"
             assert sent == {
                 "task": "a.0.0.1",
@@ -255,16 +253,16 @@
                 "ticket": "t",
             }
 
-    go(run())
+    run_async(run())
 
 
-def test_a_worker_s_lists() -> None:
+def test_worker_sync_reply() -> None:
     """Both lists, with and without the fifth entry."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             client = PlatformWorkers(http=http)
-            made.canned["/api/hold"] = (
+            fake.canned["/api/hold"] = (
                 200,
                 {
                     "clock_ms": 10,
@@ -279,9 +277,9 @@
             assert isinstance(reply, SyncReply)
             assert [each.reading for each in reply.running] == [None, 250]
             assert reply.ended[0].how is EndKind.MEMBER_ENDED
-            assert "until_ms" not in made.seen[0][1]
+            assert "until_ms" not in fake.seen[0][1]
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize(
@@ -294,31 +292,31 @@
         {"ended": "none"},
     ],
 )
-def test_lists_that_are_not_what_the_page_says(lists: dict[str, Any]) -> None:
+def test_malformed_sync_reply_is_unreachable(lists: dict[str, Any]) -> None:
     """They count as no answer, with the reason, and nothing is lost by them."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             client = PlatformWorkers(http=http)
-            made.canned["/api/hold"] = (200, {"clock_ms": 10, **lists})
+            fake.canned["/api/hold"] = (200, {"clock_ms": 10, **lists})
             entry = attrs.evolve(ENTRY, address=address)
             with pytest.raises(WorkerUnreachable, match="i-1"):
                 await client.sync(
                     entry, fence=1, ended_upto=0, lease_end_ms=None, wait_ms=0
                 )
 
-    go(run())
+    run_async(run())
 
 
-def test_one_row_that_is_no_text_does_not_hide_the_others() -> None:
+def test_undecodable_row_does_not_hide_others() -> None:
     """Its reader gives the finding with its place."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             store = PlatformStore(address=address, http=http)
             for number, value in enumerate(["/w==", "not base64!", "e30="]):
                 key = ("servers", "", f"i-{number}")
-                made.rows[key] = {
+                fake.rows[key] = {
                     "table": "servers",
                     "part": "",
                     "key": f"i-{number}",
@@ -331,23 +329,23 @@
                 read_worker(found[0])
             assert caught.value.findings[0].place == "servers/i-0"
 
-    go(run())
+    run_async(run())
 
 
-def test_permits_and_their_absence() -> None:
+def test_permit_replies() -> None:
     """Good workers with tickets; an answer that is none raises."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             client = PlatformPermits(address=address, http=http)
-            made.canned["/api/advise"] = (200, {"good": [["i-1", "t-1"]]})
+            fake.canned["/api/advise"] = (200, {"good": [["i-1", "t-1"]]})
             found = await client.ask(step="a.0.0", workers=("i-1",), timeout_s=1)
             assert found[0].ticket == "t-1"
-            made.canned["/api/advise"] = (429, {})
+            fake.canned["/api/advise"] = (429, {})
             with pytest.raises(PermitUnavailable):
                 await client.ask(step="a.0.0", workers=("i-1",), timeout_s=1)
 
-    go(run())
+    run_async(run())
 
 
 def row(key: str, value: object) -> Row:
@@ -356,7 +354,7 @@
     return Row(key=key, version=1, value=text)
 
 
-def test_configuration_and_worker_rows() -> None:
+def test_read_configuration_and_worker_rows() -> None:
     """Fields that are zero are left out; unknown ones are passed over."""
     config = read_config(
         row(
@@ -399,14 +397,14 @@
 
 
 @pytest.mark.parametrize("value", ["", "{", "[]", {"version": "x"}, {"routes": [1]}])
-def test_a_bad_configuration_row_gives_its_place(value: object) -> None:
+def test_malformed_configuration_reports_its_row(value: object) -> None:
     """The finding names the row."""
     with pytest.raises(errors.FindingsError) as caught:
         read_config(row("op/config", value))
     assert caught.value.findings[0].place == "op/config"
 
 
-def test_a_job_s_body() -> None:
+def test_job_body_fields_are_mapped() -> None:
     """Every field of the page on jobs reaches the product's own names."""
     spec = read_job(
         json.dumps(
@@ -464,7 +462,7 @@
 """
 
 
-def test_settings_are_read(tmp_path: Path) -> None:
+def test_read_settings(tmp_path: Path) -> None:
     """The platform's file, and what it leaves out."""
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS)
@@ -473,28 +471,26 @@
     assert cfg.grace_s == 6.0 and cfg.machines == ""
 
 
-def test_settings_are_read_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_reread_settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A change is taken in; a file that cannot be read changes nothing."""
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS)
     monkeypatch.setenv("CRANBERRYCLEAT_NODE_FILE", str(path))
     adapter = make_adapter(HttpClient())
-    assert adapter.reread() == ()
+    assert adapter.reload_settings() == ()
     path.write_text(SETTINGS.replace("10.200.1.7", "10.200.1.8"))
-    assert adapter.reread() == ("store",)
+    assert adapter.reload_settings() == ("store",)
     assert adapter.store.address == "10.200.1.8:8169"
     path.write_text("= broken")
     with pytest.raises(errors.FindingsError):
-        adapter.reread()
+        adapter.reload_settings()
     assert adapter.store.address == "10.200.1.8:8169"
 
 
 @pytest.mark.parametrize(
     "text", ["", "node = 1", "= x", SETTINGS.replace("[platform]", "[other]")]
 )
-def test_bad_settings_give_their_place(tmp_path: Path, text: str) -> None:
+def test_malformed_settings_report_their_file(tmp_path: Path, text: str) -> None:
     """The finding names the file."""
     path = tmp_path / "settings.toml"
     path.write_text(text)
@@ -507,11 +503,11 @@
     """Rows hold text; the platform holds bytes."""
 
     async def run() -> None:
-        async with stand() as (made, address, http):
+        async with run_fake_platform() as (fake, address, http):
             store = PlatformStore(address=address, http=http)
             await store.commit(put("jobs/a", "text"))
-            sent = made.seen[0][1]["writes"][0]["value"]
+            sent = fake.seen[0][1]["writes"][0]["value"]
             assert base64.b64decode(sent) == b"text"
             await asyncio.sleep(0)
 
-    go(run())
+    run_async(run())
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -5,32 +5,32 @@
 import attrs
 import pytest
 
-from cranberrycleat.standins.fleet import Work
+from cranberrycleat.standins.fleet import SimulatedWork
 from cranberrycleat.workflow import progress
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 from cranberrycleat.workflow.planner import Planner
 from cranberrycleat.workflow.ports import RunningTask
 from cranberrycleat.workflow.spec import StepSpec
 from tests.cell import cell, job, queue, step, submit, until
-from tests.fakes import go
-from tests.test_planner import NOW_S, board, worker
+from tests.fakes import run_async
+from tests.test_planner import NOW_S, cluster_state, worker
 
-MORE = progress.STILL_S + 0.1
+AFTER_TIMEOUT_S = progress.STALL_TIMEOUT_S + 0.1
 
 
-def _listed(each: Placement, percent: float) -> RunningTask:
+def _report(each: Placement, percent: float) -> RunningTask:
     return RunningTask(
         task=each.task, attempt=each.attempt, saved="", percent=percent, reading=900.0
     )
 
 
-def _running(*specs: StepSpec) -> FleetWorker:
+def _worker_running(*specs: StepSpec) -> FleetWorker:
     """Return a worker on which one job of each spec has just begun."""
     only = worker("w", processors=16000)
-    made = board(only)
+    owner_board = cluster_state(only)
     for number, spec in enumerate(specs):
-        made.accept(f"j{number}", queue(), job(spec))
-    Planner(board=made).plan(now=0.0, now_s=NOW_S)
+        owner_board.accept(f"j{number}", queue(), job(spec))
+    Planner(cluster_state=owner_board).plan(now=0.0, now_s=NOW_S)
     for each in only.placements.values():
         each.began(0.0)
     return only
@@ -57,18 +57,18 @@
         "empty",
     ],
 )
-def test_who_stands_still(
+def test_stalled_worker_detection(
     specs: tuple[StepSpec, ...], percents: tuple[float, ...], expected: bool
 ) -> None:
-    only = _running(*specs)
+    only = _worker_running(*specs)
     for each, percent in zip(only.placements.values(), percents, strict=True):
-        each.heard(_listed(each, percent), MORE)
-    assert progress.stands_still(only, MORE) is expected
+        each.apply_report(_report(each, percent), AFTER_TIMEOUT_S)
+    assert progress.is_stalled(only, AFTER_TIMEOUT_S) is expected
 
 
-def test_a_task_that_has_just_begun_says_nothing() -> None:
-    only = _running(step(1))
-    assert not progress.stands_still(only, progress.STILL_S / 2)
+def test_new_task_is_no_stall_evidence() -> None:
+    only = _worker_running(step(1))
+    assert not progress.is_stalled(only, progress.STALL_TIMEOUT_S / 2)
 
 
 @pytest.mark.parametrize(
@@ -82,34 +82,34 @@
     ],
     ids=["urgent", "has time", "had time", "worthless", "service"],
 )
-def test_what_leaves_a_worker_that_stands_still(
+def test_tasks_stopped_on_stalled_worker(
     spec: StepSpec, after_s: float, expected: bool
 ) -> None:
     """Objectives: twice the estimate and 1 s."""
-    only = _running(spec)
-    found = progress.to_stop(only, NOW_S + after_s)
+    only = _worker_running(spec)
+    found = progress.placements_to_stop(only, NOW_S + after_s)
     assert found == (list(only.placements.values()) if expected else [])
 
 
-def test_its_tasks_are_done_elsewhere_once_and_it_is_tried_again() -> None:
+def test_stalled_worker_is_replaced_and_probed() -> None:
     """The worker goes on answering; after a rest it is given one task."""
 
     async def run() -> None:
-        async with cell(workers=2) as made:
-            made.fleet.tells_progress = True
-            made.fleet.work = lambda task, attempt: Work(seconds=0.4)
-            stuck = made.fleet.workers["w0"]
-            stuck.stands_still = True
-            owner = await made.own()
+        async with cell(workers=2) as running_cell:
+            running_cell.fleet.reports_progress = True
+            running_cell.fleet.work = lambda task, attempt: SimulatedWork(seconds=0.4)
+            stuck = running_cell.fleet.workers["w0"]
+            stuck.stalled = True
+            owner = await running_cell.own()
             await submit(owner, "a", job(attrs.evolve(step(4), most_per_worker=2)))
-            await until(lambda: len(made.fleet.done) == 4)
-            assert made.fleet.faults == []
-            resting = owner.board.fleet.workers["w0"]
-            assert resting.probing and resting.rest_s > 0
-            stuck.stands_still = False
+            await until(lambda: len(running_cell.fleet.done) == 4)
+            assert running_cell.fleet.faults == []
+            resting = owner.cluster_state.fleet.workers["w0"]
+            assert resting.is_probed and resting.rest_s > 0
+            stuck.stalled = False
             await asyncio.sleep(resting.rest_s)
             await submit(owner, "b", job(attrs.evolve(step(4), most_per_worker=2)))
-            await until(lambda: len(made.fleet.done) == 8)
-            assert not resting.probing and made.fleet.faults == []
+            await until(lambda: len(running_cell.fleet.done) == 8)
+            assert not resting.is_probed and running_cell.fleet.faults == []
 
-    go(run())
+    run_async(run())
--- a/tests/test_prove_rows.py
+++ b/tests/test_prove_rows.py
@@ -6,16 +6,16 @@
 import pytest
 
 from tests import prove, prove_workflow
-from tests.prove_row import Row
+from tests.prove_row import Mutant
 
-ROWS = (*prove.ROWS, *prove_workflow.ROWS)
+MUTANTS = (*prove.MUTANTS, *prove_workflow.MUTANTS)
 
 
-@pytest.mark.parametrize("row", ROWS, ids=[row.what for row in ROWS])
-def test_a_row_applies(row: Row) -> None:
+@pytest.mark.parametrize("row", MUTANTS, ids=[row.mechanism for row in MUTANTS])
+def test_mutant_is_applicable(row: Mutant) -> None:
     """A row whose text is gone takes nothing out, and its tests pass."""
     source = (prove.ROOT / "cranberrycleat" / row.file).read_text()
-    assert row.text in source and row.instead != row.text
+    assert row.text in source and row.replacement != row.text
     for test in row.test.split():
         path, _, name = test.partition("::")
         found = (prove.ROOT / Path(path)).read_text()
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -14,22 +14,28 @@
 from cranberrycleat.table import Row
 from cranberrycleat.workflow import rows
 from cranberrycleat.workflow.batches import Batch, note_stored, take_batch
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.feasibility import why_over
-from cranberrycleat.workflow.fleet import FleetWorker, Loss, Placement, Standing, job_of
-from cranberrycleat.workflow.planner import MOST_SCANNED, Planner
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.feasibility import quota_violation_reason
+from cranberrycleat.workflow.fleet import (
+    FleetWorker,
+    Liveness,
+    LossCause,
+    Placement,
+    job_of,
+)
+from cranberrycleat.workflow.planner import MAX_STEPS_SCANNED, Planner
 from cranberrycleat.workflow.ports import EndedTask, EndKind, RunningTask, SyncReply
 from cranberrycleat.workflow.quota import UNLIMITED, QuotaLedger
 from cranberrycleat.workflow.spec import StepSpec, WorkflowSpec
 from cranberrycleat.workflow.state import Job
 from cranberrycleat.workflow.takeover import StoredRows, restore
 from tests.cell import cell, entry, job, queue, step, until
-from tests.fakes import go
-from tests.test_planner import NOW_S, board, placed, plan, worker
+from tests.fakes import run_async
+from tests.test_planner import NOW_S, cluster_state, placed, plan, worker
 
-ONE = ("w", "a.0.0.0", 1)
-OTHER = ("w", "a.0.0.1", 1)
-TASK = Amounts(processors=1000, memory_mb=100)
+FIRST_ATTEMPT = ("w", "a.0.0.0", 1)
+SECOND_ATTEMPT = ("w", "a.0.0.1", 1)
+TASK_NEEDS = Amounts(processors=1000, memory_mb=100)
 QUOTA = Amounts(processors=3000)
 
 
@@ -42,33 +48,33 @@
 # --- the ledger -----------------------------------------------------------------------
 
 
-def _charged_twice(made: QuotaLedger) -> None:
-    made.charge(ONE, "one", TASK)
-    made.charge(ONE, "one", TASK)
+def _charged_twice(quota_ledger: QuotaLedger) -> None:
+    quota_ledger.charge(FIRST_ATTEMPT, "one", TASK_NEEDS)
+    quota_ledger.charge(FIRST_ATTEMPT, "one", TASK_NEEDS)
 
 
-def _released_twice(made: QuotaLedger) -> None:
-    made.charge(ONE, "one", TASK)
-    made.charge(OTHER, "one", TASK)
-    made.release(OTHER)
-    made.release(OTHER)
+def _released_twice(quota_ledger: QuotaLedger) -> None:
+    quota_ledger.charge(FIRST_ATTEMPT, "one", TASK_NEEDS)
+    quota_ledger.charge(SECOND_ATTEMPT, "one", TASK_NEEDS)
+    quota_ledger.release(SECOND_ATTEMPT)
+    quota_ledger.release(SECOND_ATTEMPT)
 
 
-def _released_before_it_was_charged(made: QuotaLedger) -> None:
-    made.release(ONE)
-    made.charge(ONE, "one", TASK)
+def _released_before_it_was_charged(quota_ledger: QuotaLedger) -> None:
+    quota_ledger.release(FIRST_ATTEMPT)
+    quota_ledger.charge(FIRST_ATTEMPT, "one", TASK_NEEDS)
 
 
-def _charged_elsewhere_meanwhile(made: QuotaLedger) -> None:
-    made.charge(OTHER, "one", TASK)
-    made.charge(ONE, "one", TASK)
-    made.release(OTHER)
+def _charged_elsewhere_meanwhile(quota_ledger: QuotaLedger) -> None:
+    quota_ledger.charge(SECOND_ATTEMPT, "one", TASK_NEEDS)
+    quota_ledger.charge(FIRST_ATTEMPT, "one", TASK_NEEDS)
+    quota_ledger.release(SECOND_ATTEMPT)
 
 
-def _another_workspaces(made: QuotaLedger) -> None:
-    made.charge(ONE, "one", TASK)
-    made.charge(OTHER, "two", TASK)
-    made.charge(("w", "b.0.0.0", 1), "", TASK)
+def _another_workspaces(quota_ledger: QuotaLedger) -> None:
+    quota_ledger.charge(FIRST_ATTEMPT, "one", TASK_NEEDS)
+    quota_ledger.charge(SECOND_ATTEMPT, "two", TASK_NEEDS)
+    quota_ledger.charge(("w", "b.0.0.0", 1), "", TASK_NEEDS)
 
 
 @pytest.mark.parametrize(
@@ -82,11 +88,11 @@
     ],
 )
 def test_one_attempt_is_charged_once(history: Callable[[QuotaLedger], None]) -> None:
-    made = ledger()
-    history(made)
-    assert (made.used_by("one"), made.running["one"]) == (TASK, 1)
-    made.release(ONE)
-    assert made.used_by("one") == NOTHING and "one" not in made.used
+    quota_ledger = ledger()
+    history(quota_ledger)
+    assert (quota_ledger.used_by("one"), quota_ledger.running["one"]) == (TASK_NEEDS, 1)
+    quota_ledger.release(FIRST_ATTEMPT)
+    assert quota_ledger.used_by("one") == NOTHING and "one" not in quota_ledger.used
 
 
 @pytest.mark.parametrize(
@@ -116,21 +122,24 @@
         "no quota of its own",
     ],
 )
-def test_what_may_begin(
+def test_tasks_that_fit_the_quota_may_begin(
     quotas: dict[str, Amounts], charged: int, needs: int, count: int, expected: bool
 ) -> None:
-    made = ledger(quotas)
+    quota_ledger = ledger(quotas)
     for number in range(charged):
-        made.charge(("w", f"a.0.0.{number}", 1), "one", TASK)
+        quota_ledger.charge(("w", f"a.0.0.{number}", 1), "one", TASK_NEEDS)
     asked = Amounts(processors=needs, memory_mb=100)
-    assert made.may_begin("one", asked, count) is expected
+    assert quota_ledger.may_begin("one", asked, count) is expected
 
 
 def test_nothing_begins_while_a_newer_quota_may_be_in_force() -> None:
-    made = QuotaLedger(quotas=lambda: None)
-    assert not made.may_begin("one", TASK)
-    assert made.may_begin("", TASK) and made.headroom("") == UNLIMITED
-    assert not made.is_over("one")
+    quota_ledger = QuotaLedger(quotas=lambda: None)
+    assert not quota_ledger.may_begin("one", TASK_NEEDS)
+    assert (
+        quota_ledger.may_begin("", TASK_NEEDS)
+        and quota_ledger.headroom("") == UNLIMITED
+    )
+    assert not quota_ledger.is_over("one")
 
 
 @pytest.mark.parametrize(
@@ -143,90 +152,100 @@
     ],
     ids=["a gang that fits", "a gang that never will", "a wide step", "a task"],
 )
-def test_what_can_never_run_is_refused(spec: WorkflowSpec, expected: bool) -> None:
+def test_jobs_that_can_never_fit_the_quota_are_refused(
+    spec: WorkflowSpec, expected: bool
+) -> None:
     """Its caller is told at once; a wide step runs some tasks after the others."""
-    assert bool(why_over(spec, QUOTA)) is expected
-    assert not why_over(spec, None) and not why_over(spec, NOTHING)
+    assert bool(quota_violation_reason(spec, QUOTA)) is expected
+    assert not quota_violation_reason(spec, None) and not quota_violation_reason(
+        spec, NOTHING
+    )
 
 
 # --- the planner ----------------------------------------------------------------------
 
 
-def limited(*workers: FleetWorker, quota: Amounts = QUOTA) -> Board:
+def cluster_with_quota(*workers: FleetWorker, quota: Amounts = QUOTA) -> ClusterState:
     """Return a board on which one workspace has a quota."""
-    made = board(*workers)
-    made.quotas.quotas = lambda: {"one": quota}
-    return made
+    cluster = cluster_state(*workers)
+    cluster.quotas.quotas = lambda: {"one": quota}
+    return cluster
 
 
-def hand_in(made: Board, job_id: str, workspace: str, *steps: StepSpec) -> Job:
+def submit_job(
+    cluster: ClusterState, job_id: str, workspace: str, *steps: StepSpec
+) -> Job:
     """Hand in a workspace's job."""
-    return made.accept(job_id, queue(), job(*steps), workspace=workspace)
+    return cluster.accept(job_id, queue(), job(*steps), workspace=workspace)
 
 
-def test_a_wide_step_has_as_many_tasks_running_as_its_workspace_may() -> None:
-    made = limited(worker("w"), worker("v"))
-    hand_in(made, "a", "one", step(6))
-    hand_in(made, "b", "two", step(6))
-    plan(made)
-    names = [each for tasks in placed(made).values() for each in tasks]
-    assert sum(each.startswith("a.") for each in names) == 3
-    assert sum(each.startswith("b.") for each in names) == 5
+def test_wide_step_runs_up_to_its_workspace_quota() -> None:
+    cluster = cluster_with_quota(worker("w"), worker("v"))
+    submit_job(cluster, "a", "one", step(6))
+    submit_job(cluster, "b", "two", step(6))
+    plan(cluster)
+    names = [name for tasks in placed(cluster).values() for name in tasks]
+    assert sum(name.startswith("a.") for name in names) == 3
+    assert sum(name.startswith("b.") for name in names) == 5
 
 
-def test_a_gang_begins_whole_or_not_at_all_and_keeps_no_room_meanwhile() -> None:
-    made = limited(worker("w"))
-    hand_in(made, "a", "one", step(2))
-    hand_in(made, "g", "one", step(2, gang=True))
-    plan(made)
-    hand_in(made, "b", "two", step(2))
-    plan(made)
-    assert placed(made) == {"w": ["a.0.0.0", "a.0.0.1", "b.0.0.0", "b.0.0.1"]}
+def test_gang_over_quota_reserves_no_capacity() -> None:
+    cluster = cluster_with_quota(worker("w"))
+    submit_job(cluster, "a", "one", step(2))
+    submit_job(cluster, "g", "one", step(2, gang=True))
+    plan(cluster)
+    submit_job(cluster, "b", "two", step(2))
+    plan(cluster)
+    assert placed(cluster) == {"w": ["a.0.0.0", "a.0.0.1", "b.0.0.0", "b.0.0.1"]}
 
 
-def test_the_backlog_of_one_workspace_does_not_fill_a_round() -> None:
+def test_backlog_of_one_workspace_does_not_exhaust_a_round() -> None:
     """One that sends many times its usual costs the others nothing."""
-    made = limited(worker("w"), quota=TASK)
-    for number in range(MOST_SCANNED + 5):
-        hand_in(made, f"a{number}", "one", step(1))
-    hand_in(made, "b", "two", step(1))
-    plan(made)
-    assert "b.0.0.0" in placed(made)["w"] and len(placed(made)["w"]) == 2
+    cluster = cluster_with_quota(worker("w"), quota=TASK_NEEDS)
+    for number in range(MAX_STEPS_SCANNED + 5):
+        submit_job(cluster, f"a{number}", "one", step(1))
+    submit_job(cluster, "b", "two", step(1))
+    plan(cluster)
+    assert "b.0.0.0" in placed(cluster)["w"] and len(placed(cluster)["w"]) == 2
 
 
 # --- a quota that falls ---------------------------------------------------------------
 
 
 @pytest.mark.parametrize("lost", [0, 1], ids=["before it was sent", "unanswered"])
-def test_a_start_is_held_back_once_the_quota_has_fallen(lost: int) -> None:
+def test_start_is_withheld_after_the_quota_is_lowered(lost: int) -> None:
     """Between placing and beginning lie a transaction and maybe seconds."""
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
+        async with cell(workers=1) as env:
+            owner = await env.own()
             quotas = {"one": Amounts(processors=2000)}
-            owner.board.quotas.quotas = lambda: quotas
-            only = made.fleet.workers["w0"]
-            only.lose_starts = 10_000 * lost
-            made.table.faults.slow_s = 0.0 if lost else 0.3
-            hand_in(owner.board, "a", "one", step(2))
+            owner.cluster_state.quotas.quotas = lambda: quotas
+            only = env.fleet.workers["w0"]
+            only.unanswered_starts = 10_000 * lost
+            env.table.faults.slow_s = 0.0 if lost else 0.3
+            submit_job(owner.cluster_state, "a", "one", step(2))
             owner.changed()
-            begun = (lambda: len(only.late) > 1) if lost else _is_placed(owner.board)
+            begun = (
+                (lambda: len(only.late) > 1)
+                if lost
+                else _is_placed(owner.cluster_state)
+            )
             await until(begun)
             quotas["one"] = Amounts(processors=1000)
-            await until(lambda: not owner.board.placements_of("a"))
-            only.lose_starts, made.table.faults.slow_s = 0, 0.0
-            late = [made.fleet.carry_out(only, each).verdict for each in only.late]
+            await until(lambda: not owner.cluster_state.placements_of("a"))
+            only.unanswered_starts, env.table.faults.slow_s = 0, 0.0
+            late = [env.fleet.carry_out(only, each).verdict for each in only.late]
             assert not [each for each in late if each.value == "accepted"]
             quotas["one"] = Amounts(processors=2000)
             owner.changed()
             await until(lambda: owner.state("a", "one").state == "completed")
 
-    go(run())
+    run_async(run())
 
 
-def _is_placed(made: Board) -> Callable[[], bool]:
-    return lambda: len(made.placements_of("a")) == 2
+def _is_placed(cluster: ClusterState) -> Callable[[], bool]:
+    return lambda: len(cluster.placements_of("a")) == 2
 
 
 # --- a random history -----------------------------------------------------------------
@@ -249,7 +268,7 @@
         faults: What the rule forbids.
     """
 
-    rnd: random.Random
+    rng: random.Random
     quota: Amounts = QUOTA
     running: dict[str, dict[str, int]] = attrs.field(factory=dict)
     ended: dict[str, list[EndedTask]] = attrs.field(factory=dict)
@@ -259,7 +278,7 @@
     fences: dict[str, int] = attrs.field(factory=dict)
     stored: dict[str, str] = attrs.field(factory=dict)
     faults: list[str] = attrs.field(factory=list)
-    made: Board = attrs.field(factory=Board)
+    cluster: ClusterState = attrs.field(factory=ClusterState)
     _sent: set[tuple[str, int]] = attrs.field(factory=set)
     _sizes: dict[str, int] = attrs.field(factory=dict)
     _jobs: int = 0
@@ -272,49 +291,49 @@
         self._new_board()
 
     def _new_board(self) -> None:
-        self.made = Board(time_of_day=lambda: NOW_S, now=lambda: 0.0)
-        self.made.quotas.quotas = lambda: {"one": self.quota}
+        self.cluster = ClusterState(time_of_day=lambda: NOW_S, now=lambda: 0.0)
+        self.cluster.quotas.quotas = lambda: {"one": self.quota}
         for name in self.running:
-            self.made.fleet.add(
-                FleetWorker(entry=entry(name), standing=Standing.SILENT)
+            self.cluster.fleet.add(
+                FleetWorker(entry=entry(name), liveness=Liveness.SILENT)
             )
         self._sent.clear()
 
-    def play(self, steps: int) -> None:
+    def run_steps(self, steps: int) -> None:
         """Have things happen."""
         acts = (
-            self.hand_in,
-            self.hand_in,
+            self.submit_job,
+            self.submit_job,
             self.plan_and_store,
             self.plan_and_store,
             self.order,
             self.order,
             self.carry_out_late,
-            self.end_some,
-            self.list_one,
-            self.list_one,
+            self.end_running_tasks,
+            self.sync_worker,
+            self.sync_worker,
             self.cancel,
             self.lose_worker,
             self.take_over,
             self.change_quota,
         )
         for _ in range(steps):
-            self.rnd.choice(acts)()
+            self.rng.choice(acts)()
 
-    def hand_in(self) -> None:
+    def submit_job(self) -> None:
         """A caller hands in a job."""
         self._jobs += 1
-        gang = self.rnd.random() < 0.3
-        spec = step(self.rnd.randint(1, 3), self.rnd.choice((500, 1000)), gang=gang)
+        gang = self.rng.random() < 0.3
+        spec = step(self.rng.randint(1, 3), self.rng.choice((500, 1000)), gang=gang)
         self._sizes[f"j{self._jobs}"] = spec.needs.processors
-        self.made.accept(f"j{self._jobs}", queue(), job(spec), workspace="one")
+        self.cluster.accept(f"j{self._jobs}", queue(), job(spec), workspace="one")
 
     def plan_and_store(self) -> None:
         """The owner plans, and the table takes what it has to store."""
-        Planner(board=self.made).plan(now=0.0, now_s=NOW_S)
-        batch = take_batch(self.made)
+        Planner(cluster_state=self.cluster).plan(now=0.0, now_s=NOW_S)
+        batch = take_batch(self.cluster)
         self._store(batch)
-        note_stored(self.made, batch)
+        note_stored(self.cluster, batch)
 
     def _store(self, batch: Batch) -> None:
         self.stored |= {put.key: put.value for put in batch.puts}
@@ -323,20 +342,20 @@
 
     def order(self) -> None:
         """Every start that is stored is sent; some come late, or never."""
-        for each in list(self.made.fleet.workers.values()):
-            for placement in list(each.placements.values()):
-                self._order(each, placement)
+        for known in list(self.cluster.fleet.workers.values()):
+            for placement in list(known.placements.values()):
+                self._order(known, placement)
 
     def _order(self, on: FleetWorker, placement: Placement) -> None:
         key = (placement.task, placement.attempt)
         if key in self._sent or not placement.stored or placement.ordered:
             return
-        if self.made.is_over_quota(placement) or placement.stopping:
-            self.made.give_up(on, placement, "not sent")
+        if self.cluster.is_over_quota(placement) or placement.stopping:
+            self.cluster.give_up(on, placement, "not sent")
             return
         self._sent.add(key)
         placement.ordered = True
-        if self.rnd.random() < 0.3:
+        if self.rng.random() < 0.3:
             self.late.append((on.name, *key, self.epoch))
         else:
             placement.began(0.0)
@@ -345,7 +364,7 @@
     def carry_out_late(self) -> None:
         """A worker carries out an order that it left unanswered."""
         if self.late:
-            self._begin(*self.late.pop(self.rnd.randrange(len(self.late))))
+            self._begin(*self.late.pop(self.rng.randrange(len(self.late))))
 
     def _begin(self, name: str, task: str, attempt: int, fence: int) -> None:
         if attempt <= self.void.get((name, task), 0):
@@ -365,12 +384,12 @@
     def _needs(self, task: str) -> int:
         return self._sizes[job_of(task)]
 
-    def end_some(self) -> None:
+    def end_running_tasks(self) -> None:
         """What runs on a worker ends."""
-        name = self.rnd.choice(sorted(self.running))
+        name = self.rng.choice(sorted(self.running))
         for task in list(self.running[name]):
-            if self.rnd.random() < 0.5:
-                how = self.rnd.choice((EndKind.DONE, EndKind.FAILED))
+            if self.rng.random() < 0.5:
+                how = self.rng.choice((EndKind.DONE, EndKind.FAILED))
                 self._end(name, task, how)
 
     def _end(self, name: str, task: str, how: EndKind) -> None:
@@ -382,11 +401,11 @@
         )
         self.ended[name].append(end)
 
-    def list_one(self) -> None:
+    def sync_worker(self) -> None:
         """The owner hears a worker's lists, and its stops reach it."""
-        name = self.rnd.choice(sorted(self.running))
-        known = self.made.fleet.workers[name]
-        known.standing = Standing.LIVE
+        name = self.rng.choice(sorted(self.running))
+        known = self.cluster.fleet.workers[name]
+        known.liveness = Liveness.LIVE
         self.fences[name] = self.epoch
         for placement in list(known.placements.values()):
             if placement.stopping:
@@ -398,7 +417,7 @@
         ended = tuple(self.ended[name])
         self.ended[name] = []
         reply = SyncReply(worker_time_ms=1, running=running, ended=ended)
-        self.made.sync(known, reply, sent_at=1.0, now=1.0)
+        self.cluster.sync(known, reply, sent_at=1.0, now=1.0)
 
     def _stop(self, name: str, placement: Placement) -> None:
         task, attempt = placement.task, placement.attempt
@@ -411,16 +430,16 @@
     def cancel(self) -> None:
         """A caller cancels a job."""
         if self._jobs:
-            self.made.cancel(f"j{self.rnd.randint(1, self._jobs)}")
+            self.cluster.cancel(f"j{self.rng.randint(1, self._jobs)}")
 
     def lose_worker(self) -> None:
         """A worker's leases are over: nothing runs there, and no order counts."""
-        name = self.rnd.choice(sorted(self.running))
+        name = self.rng.choice(sorted(self.running))
         self.running[name].clear()
         self.late = [each for each in self.late if each[0] != name]
-        known = self.made.fleet.workers[name]
-        known.standing = Standing.SILENT
-        self.made.lapse(known, Loss.SILENT)
+        known = self.cluster.fleet.workers[name]
+        known.liveness = Liveness.SILENT
+        self.cluster.give_up_all(known, LossCause.SILENT)
 
     def take_over(self) -> None:
         """Another owner goes by the rows; it has met no worker yet."""
@@ -429,8 +448,8 @@
         jobs, specs = tuple(
             rows_of_table(self.stored, table) for table in (rows.JOBS, rows.SPECS)
         )
-        restore(self.made, StoredRows(specs=specs, jobs=jobs, inbox=()))
-        self.made.adopt(0.0)
+        restore(self.cluster, StoredRows(specs=specs, jobs=jobs, inbox=()))
+        self.cluster.adopt(0.0)
 
     def change_quota(self) -> None:
         """The operator lowers the quota far, or raises it again."""
@@ -448,36 +467,40 @@
 
 # Guards against a workspace that runs more than it may after a takeover (QUOTA): a job
 # that was cancelled has attempts at work until they are heard to have stopped.
-def test_a_successor_counts_and_stops_what_an_ended_job_still_has() -> None:
-    history = History(rnd=random.Random(1))
-    for each in history.made.fleet.workers.values():
-        each.standing = Standing.LIVE
-    history.made.accept("a", queue(), job(step(3)), workspace="one")
+def test_successor_charges_and_stops_attempts_of_ended_jobs() -> None:
+    history = History(rng=random.Random(1))
+    for each in history.cluster.fleet.workers.values():
+        each.liveness = Liveness.LIVE
+    history.cluster.accept("a", queue(), job(step(3)), workspace="one")
     history.plan_and_store()
-    assert history.made.quotas.used_by("one") == TASK.times(3)
-    history.made.cancel("a")
+    assert history.cluster.quotas.used_by("one") == TASK_NEEDS.times(3)
+    history.cluster.cancel("a")
     history.plan_and_store()
     history.take_over()
-    assert history.made.quotas.used_by("one") == TASK.times(3)
-    left = [each for _, each in history.made.placements_of("a")]
+    assert history.cluster.quotas.used_by("one") == TASK_NEEDS.times(3)
+    left = [each for _, each in history.cluster.placements_of("a")]
     assert len(left) == 3 and all(each.stopping and each.ordered for each in left)
-    assert not history.made.quotas.may_begin("one", TASK)
+    assert not history.cluster.quotas.may_begin("one", TASK_NEEDS)
     for name in history.running:
-        history.made.lapse(history.made.fleet.workers[name], Loss.SILENT)
-    assert history.made.quotas.may_begin("one", TASK.times(3))
+        history.cluster.give_up_all(
+            history.cluster.fleet.workers[name], LossCause.SILENT
+        )
+    assert history.cluster.quotas.may_begin("one", TASK_NEEDS.times(3))
 
 
 @given(seed=st.integers(min_value=0, max_value=2**32))
 @example(seed=23_401)
 @example(seed=329)
 @settings(max_examples=60, deadline=None)
-def test_no_history_has_a_workspace_run_more_than_it_may(seed: int) -> None:
+def test_random_history_never_exceeds_the_quota(seed: int) -> None:
     """Through starts, ends, losses, takeovers, cancellings and late orders."""
-    history = History(rnd=random.Random(seed))
-    history.play(150)
+    history = History(rng=random.Random(seed))
+    history.run_steps(150)
     assert not history.faults
     for name in history.running:
-        history.rnd = random.Random(0)
+        history.rng = random.Random(0)
         history.running[name].clear()
-        history.made.lapse(history.made.fleet.workers[name], Loss.SILENT)
-    assert not history.made.quotas.charges, "a charge is never released"
+        history.cluster.give_up_all(
+            history.cluster.fleet.workers[name], LossCause.SILENT
+        )
+    assert not history.cluster.quotas.charges, "a charge is never released"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,7 +5,7 @@
 from tests.relay import Relay
 
 
-def test_a_relay_outlives_a_target_that_is_gone_for_a_while() -> None:
+def test_relay_survives_unreachable_target() -> None:
     """Its thread ended with the first connection that found nobody listening."""
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
@@ -20,5 +20,5 @@
         listener.listen()
         listener.settimeout(5.0)
         with socket.create_connection((host, int(port))):
-            onward, _ = listener.accept()
-            onward.close()
+            upstream, _ = listener.accept()
+            upstream.close()
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -8,20 +8,20 @@
 
 from cranberrycleat.http_client import HttpClient, HttpReply
 from cranberrycleat.table import Row
-from cranberrycleat.workflow.access import REVOKE_MARGIN_S
+from cranberrycleat.workflow.access import REVOKED_KEY_MARGIN_S
 from cranberrycleat.workflow.node import Node
 from cranberrycleat.workflow.ports import ClusterConfig
 from tests.cell import Cell, cell, until
-from tests.fakes import go
-from tests.test_access import TWO, config_of, workspace
+from tests.fakes import run_async
+from tests.test_access import TWO_WORKSPACES, config_of, workspace
 from tests.test_late_config import holds, write
 from tests.test_node import nodes
 
-REVOKE_BOUND_S = 2.8 + REVOKE_MARGIN_S
+REVOKE_BOUND_S = 2.8 + REVOKED_KEY_MARGIN_S
 """An answer tells of when its question was sent, 1 s before, and the next comes 1 s
 later; the owner's word is 0.3 s older."""
 WITHOUT_KEY_2 = config_of(workspace("one", "key-1"), workspace("two", "key-3"))
-VERSIONS = {1: TWO, 2: TWO, 3: WITHOUT_KEY_2}
+VERSIONS = {1: TWO_WORKSPACES, 2: TWO_WORKSPACES, 3: WITHOUT_KEY_2}
 
 
 def read(row: Row) -> ClusterConfig:
@@ -30,12 +30,12 @@
     return attrs.evolve(VERSIONS[version], version=version)
 
 
-async def need_keys(running: list[Node], made: Cell) -> None:
+async def require_keys(running: list[Node], env: Cell) -> None:
     """Have every node follow a configuration with workspaces."""
     for node in running:
         node._config.follower.read = read
         node._access.revoke_bound_s = REVOKE_BOUND_S
-    write(made, 2)
+    write(env, 2)
     await until(lambda: all(holds(node, 2) for node in running))
 
 
@@ -51,33 +51,33 @@
 
 # Guards against a key that is good on a host that is cut off (CONFIG), and against a
 # host that refuses though the owner's word confirms what it holds.
-def test_a_host_without_the_table_serves_by_the_owners_word_and_no_longer() -> None:
+def test_host_without_the_table_serves_until_the_revocation_bound() -> None:
     async def run() -> None:
         http = HttpClient()
-        async with cell() as made, nodes(made) as running:
-            await need_keys(running, made)
+        async with cell() as env, nodes(env) as running:
+            await require_keys(running, env)
             owner, cut = running
             cut.adapter.path.cut = True  # type: ignore[attr-defined]
-            await until(lambda: cut._config.unread > 1)
+            await until(lambda: cut._config.failed_reads > 1)
             trusted_until = cut.clock.now() + REVOKE_BOUND_S
             await until(lambda: cut.clock.now() > trusted_until)
             assert (await ask(http, cut, "key-2")).status == 200
-            write(made, 3)
+            write(env, 3)
             acked = cut.clock.now()
             await until(lambda: holds(owner, 3))
             assert (await ask(http, owner, "key-2")).status == 401
             assert (await ask(http, owner, "key-1")).status == 200
-            told = []
+            answers = []
             while cut.clock.now() < acked + REVOKE_BOUND_S + 1.0:
                 sent_s = cut.clock.now() - acked
-                told.append((sent_s, (await ask(http, cut, "key-2")).status))
-            served = [sent_s for sent_s, status in told if status == 200]
+                answers.append((sent_s, (await ask(http, cut, "key-2")).status))
+            served = [sent_s for sent_s, status in answers if status == 200]
             assert served and max(served) < REVOKE_BOUND_S
-            assert {status for _, status in told} == {200, 503}, "never a false 401"
+            assert {status for _, status in answers} == {200, 503}, "never a false 401"
             cut.adapter.path.cut = False  # type: ignore[attr-defined]
             await until(lambda: holds(cut, 3))
             assert (await ask(http, cut, "key-2")).status == 401
             assert (await ask(http, cut, "key-1")).status == 200
         await http.close()
 
-    go(run())
+    run_async(run())
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -14,7 +14,7 @@
 from cranberrycleat.scheduler import Scheduler
 from cranberrycleat.scheduler_api import scheduler_handlers
 from cranberrycleat.table import Put, Transaction
-from tests.fakes import MemoryPlatform, go
+from tests.fakes import MemoryPlatform, run_async
 
 assert plugins
 
@@ -40,12 +40,12 @@
 
 
 @pytest.mark.parametrize("bad", ["{", "{}", '{"id": 3}', '"text"'])
-def test_unreadable_change_is_passed_and_kept(bad: str) -> None:
+def test_undecodable_inbox_entry_is_skipped_and_kept(bad: str) -> None:
     """A change that can't be read stops nobody's work and is not lost."""
     scheduler, table = make_scheduler()
     prefix = inbox_prefix("dc-a")
 
-    async def whole() -> None:
+    async def scenario() -> None:
         puts = (
             Put(key=prefix + "a", value=bad),
             Put(key=prefix + "b", value=submission("good")),
@@ -54,18 +54,18 @@
         await scheduler._step()
         await scheduler._step()
 
-    go(whole())
+    run_async(scenario())
     assert scheduler.shard is not None
     assert list(scheduler.shard.jobs) == ["good"]
     assert [key for key in table.rows if key.startswith(prefix)] == [prefix + "a"]
 
 
-def test_change_and_its_removal_are_one_write() -> None:
+def test_change_and_inbox_deletion_are_one_transaction() -> None:
     """A job is taken on and its inbox row deleted together, lost reply or not."""
     scheduler, table = make_scheduler()
     prefix = inbox_prefix("dc-a")
 
-    async def whole() -> None:
+    async def scenario() -> None:
         await scheduler._step()
         table.apply(
             Transaction(puts=(Put(key=prefix + "b", value=submission("good")),))
@@ -79,18 +79,18 @@
         assert "shard/dc-a/job/good" in table.rows
         await scheduler._step()
 
-    go(whole())
+    run_async(scenario())
     assert scheduler._pending is None
-    assert scheduler.lease.authority()
+    assert scheduler.lease.is_valid()
 
 
-def test_shutdown_in_the_middle_of_a_round_hands_over() -> None:
+def test_shutdown_during_a_round_releases_the_lease() -> None:
     """A round under way is finished first; the lease is then given up, not lost."""
     scheduler, table = make_scheduler()
 
-    async def whole() -> None:
-        scheduler._owner_task = scheduler._background.spawn(scheduler._own())
-        while not scheduler.lease.authority():
+    async def scenario() -> None:
+        scheduler._owner_task = scheduler._background.spawn(scheduler._run_ownership())
+        while not scheduler.lease.is_valid():
             await asyncio.sleep(0.01)
         while scheduler.shard is None or scheduler._pending is not None:
             await asyncio.sleep(0.01)
@@ -102,6 +102,6 @@
             await asyncio.sleep(0.01)
         await scheduler.drain()
 
-    go(whole())
+    run_async(scenario())
     owner = codec.decode(table.rows[owner_key("dc-a")].value, OwnerRow)
     assert owner.released
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -9,7 +9,7 @@
 import httpx
 from syrupy.assertion import SnapshotAssertion
 
-from tests.processes import Fleet, Program, run_command, until
+from tests.processes import Fleet, ProgramProcess, run_command, wait_until
 
 WORKLOADS = """
 [[job]]
@@ -45,7 +45,7 @@
 processors = 64.0
 """
 
-FAULTY = """
+INVALID_WORKLOADS = """
 [[job]]
 name = "Bad Name"
 kind = "service"
@@ -63,7 +63,9 @@
 class Transcript:
     """What was asked and answered, with what differs between runs masked."""
 
-    def __init__(self, folder: Path, scheduler: Program, gateway: Program) -> None:
+    def __init__(
+        self, folder: Path, scheduler: ProgramProcess, gateway: ProgramProcess
+    ) -> None:
         self.lines: list[str] = []
         self.folder = folder
         self.scheduler = scheduler
@@ -108,7 +110,7 @@
 def test_session(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
     """Operators and callers, good input and bad, from start to shutdown."""
     (tmp_path / "workloads.toml").write_text(WORKLOADS)
-    (tmp_path / "faulty.toml").write_text(FAULTY)
+    (tmp_path / "faulty.toml").write_text(INVALID_WORKLOADS)
     (tmp_path / "good.toml").write_text("[routing]\nqueue_s = 0.5\n")
     (tmp_path / "bad.toml").write_text("[routing]\nqueue_s = -1\nretry_share = 7\n")
     with Fleet() as fleet:
@@ -118,17 +120,17 @@
         gateway = fleet.gateway("g1", platform, scheduler)
         _wait_for_workers(scheduler, 2)
         script = Transcript(tmp_path, scheduler, gateway)
-        _operators(script, tmp_path)
-        _callers(script, gateway)
-        _changes(script)
+        _run_operator_commands(script, tmp_path)
+        _send_caller_requests(script, gateway)
+        _run_change_commands(script)
         for program in (platform, workers[0], scheduler, gateway):
-            _shows_itself(script, program)
+            _record_dump_and_metrics(script, program)
         codes = [each.terminate() for each in (gateway, scheduler, *workers, platform)]
         script.lines.append(f"exit codes at shutdown: {codes}")
     assert script.text() == snapshot
 
 
-def _shows_itself(script: Transcript, program: Program) -> None:
+def _record_dump_and_metrics(script: Transcript, program: ProgramProcess) -> None:
     """Every process shows its state and its metrics on request."""
     dump = httpx.get(program.url + "/v1/dump", trust_env=False).json()
     found = httpx.get(program.url + "/v1/metrics", trust_env=False).json()
@@ -137,15 +139,15 @@
     script.lines.append(f"metrics of: {sorted(resource.values())}")
 
 
-def _wait_for_workers(scheduler: Program, count: int) -> None:
+def _wait_for_workers(scheduler: ProgramProcess, count: int) -> None:
     def live() -> bool:
         found = httpx.get(scheduler.url + "/v1/workers", trust_env=False).json()
         return [w["state"] for w in found["workers"]] == ["live"] * count
 
-    until(live, what=f"{count} live workers")
+    wait_until(live, description=f"{count} live workers")
 
 
-def _operators(script: Transcript, folder: Path) -> None:
+def _run_operator_commands(script: Transcript, folder: Path) -> None:
     script.command("job", "submit", str(folder / "faulty.toml"))
     script.command("job", "submit", str(folder / "missing.toml"))
     script.command("job", "submit", str(folder / "workloads.toml"))
@@ -162,15 +164,15 @@
     script.command("scheduler", "--colour", "red")
 
 
-def _callers(script: Transcript, gateway: Program) -> None:
+def _send_caller_requests(script: Transcript, gateway: ProgramProcess) -> None:
     def known() -> bool:
         dump = httpx.get(gateway.url + "/v1/dump", trust_env=False).json()
         return len(dump["services"].get("slot-check", [])) == 2
 
-    until(known, what="two endpoints at the gateway")
+    wait_until(known, description="two endpoints at the gateway")
     script.request("GET", "/call/slot-check/bay/7?size=3")
     script.request("POST", "/call/slot-check/book", "bay 7", idempotency_key="k1")
-    _settled(gateway, "k1")
+    _wait_for_replay(gateway, "k1")
     script.request("POST", "/call/slot-check/book", "bay 7", idempotency_key="k1")
     script.request("POST", "/call/slot-check/book", "bay 8", idempotency_key="k1")
     script.request("GET", "/call/slot-check/", x_class="soon", x_timeout_ms="never")
@@ -180,7 +182,7 @@
     script.request("POST", "/call/slot-check/cut?truncate")
 
 
-def _settled(gateway: Program, key: str) -> None:
+def _wait_for_replay(gateway: ProgramProcess, key: str) -> None:
     """Wait until a repeat is replayed, so that the golden run asks just once."""
 
     def replayed() -> bool:
@@ -192,10 +194,10 @@
         )
         return "idempotency-replayed" in res.headers
 
-    until(replayed, what="a replayed answer")
+    wait_until(replayed, description="a replayed answer")
 
 
-def _changes(script: Transcript) -> None:
+def _run_change_commands(script: Transcript) -> None:
     script.command("worker", "label", "w1", "tier=dark", "disk=ssd")
     script.command("worker", "label", "w9", "tier=dark")
     script.command("worker", "label", "w1", "tier")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,21 +15,21 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_is_lost_or_done_twice_under_faults(seed: int) -> None:
-    assert asyncio.run(soak.play(seed, SECONDS)) == []
+def test_no_task_is_lost_or_run_twice_under_faults(seed: int) -> None:
+    assert asyncio.run(soak.run_seed(seed, SECONDS)) == []
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_tasks_that_crash_workers_are_told_from_sound_ones(seed: int) -> None:
-    assert asyncio.run(soak.play(seed, SECONDS, crashing=0.03)) == []
+def test_crashing_tasks_are_distinguished_from_healthy_ones(seed: int) -> None:
+    assert asyncio.run(soak.run_seed(seed, SECONDS, crashing=0.03)) == []
 
 
 @pytest.mark.parametrize("crashing", [0.0, 0.03])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_is_lost_or_done_twice_when_workers_restart(
+def test_no_task_is_lost_or_run_twice_when_workers_restart(
     seed: int, crashing: float
 ) -> None:
-    found = asyncio.run(soak.play(seed, SECONDS, crashing, restarts=True))
+    found = asyncio.run(soak.run_seed(seed, SECONDS, crashing, restarts=True))
     assert found == []
 
 
@@ -37,59 +37,59 @@
 # more than it has (LIMIT), each of which one of these seeds has shown.
 @pytest.mark.parametrize("seed", [7029, 7352])
 def test_a_seed_that_showed_a_fault_shows_none(seed: int) -> None:
-    found = asyncio.run(soak.play(seed, 8.0, crashing=0.03, restarts=True))
+    found = asyncio.run(soak.run_seed(seed, 8.0, crashing=0.03, restarts=True))
     assert found == []
 
 
 @pytest.mark.parametrize("restarts", [False, True])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_no_workspace_runs_more_than_its_quota_under_faults(
-    seed: int, restarts: bool
-) -> None:
-    found = asyncio.run(soak.play(seed, SECONDS, restarts=restarts, quotas=True))
+def test_no_workspace_exceeds_its_quota_under_faults(seed: int, restarts: bool) -> None:
+    found = asyncio.run(soak.run_seed(seed, SECONDS, restarts=restarts, quotas=True))
     assert found == []
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 5, 11, 18])
-def test_the_newest_configuration_is_in_force_after_any_trouble(seed: int) -> None:
+def test_newest_configuration_is_in_force_after_faults(seed: int) -> None:
     assert asyncio.run(config_soak.Soak(seed=seed, seconds=SECONDS).run()) == []
 
 
-def test_a_host_that_is_killed_twice_at_a_time_stands_once() -> None:
+def test_host_killed_twice_concurrently_is_started_once() -> None:
     """Two of them would own in turn, and the soak would see but one: 'no owner'."""
 
     async def run() -> None:
-        async with cell(workers=0) as made:
-            played = soak.Soak(
-                rnd=random.Random(1), made=made, record=Record(clock=made.clock)
+        async with cell(workers=0) as harness:
+            running_soak = soak.Soak(
+                rng=random.Random(1),
+                harness=harness,
+                record=Record(clock=harness.clock),
             )
-            played._boot("h0")
-            await asyncio.gather(played._kill_host(), played._kill_host())
-            standing = [
+            running_soak._start_host("h0")
+            await asyncio.gather(running_soak._kill_host(), running_soak._kill_host())
+            host_tasks = [
                 each
                 for each in asyncio.all_tasks()
                 if getattr(each.get_coro(), "__name__", "") == "_stand"
             ]
-            assert standing == [played.hosts["h0"]]
-            standing[0].cancel()
-            await asyncio.gather(*standing, return_exceptions=True)
+            assert host_tasks == [running_soak.hosts["h0"]]
+            host_tasks[0].cancel()
+            await asyncio.gather(*host_tasks, return_exceptions=True)
 
     asyncio.run(run())
 
 
-def test_the_judge_carries_out_no_late_order_on_a_life_that_is_over() -> None:
+def test_late_order_is_not_executed_by_replaced_worker() -> None:
     """It would count as a start of a task that is done elsewhere by then."""
 
     async def run() -> None:
         fleet = StandinFleet()
         worker = fleet.add(entry("w"))
-        worker.lose_starts = 1
+        worker.unanswered_starts = 1
         order = StartOrder(
             task="a.0.0.0", attempt=1, program="p", lease_end_ms=10**15, fence=1
         )
         with pytest.raises(WorkerUnreachable):
             await fleet.start(worker.entry, order, limit_s=0.01)
-        fleet.crash("w", entry("w2"))
+        fleet.replace_worker("w", entry("w2"))
         for late in worker.late:
             fleet.carry_out(worker, late)
         assert not fleet.starts
--- a/tests/test_shown_states.py
+++ b/tests/test_state_queries.py
@@ -12,15 +12,15 @@
 
 from cranberrycleat.standins.feed_table import MemoryFeedTable
 from cranberrycleat.table import CommitReply, Transaction
-from cranberrycleat.workflow.owner import END_STORED_S, Owner
+from cranberrycleat.workflow.owner import END_STORED_TIMEOUT_S, Owner
 from tests.cell import Cell, cell, job, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 SLOW_S = 0.05
 
 
 @attrs.define(kw_only=True)
-class HeldTable(MemoryFeedTable):
+class PausableTable(MemoryFeedTable):
     """A table whose transactions wait while it is told to hold them."""
 
     free: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -34,58 +34,58 @@
         return await MemoryFeedTable.commit(self, txn)
 
 
-async def _ended_but_not_stored(made: Cell) -> tuple[Owner, HeldTable]:
+async def _ended_but_not_stored(made: Cell) -> tuple[Owner, PausableTable]:
     owner = await made.own()
     table = made.table
-    assert isinstance(table, HeldTable)
+    assert isinstance(table, PausableTable)
     await submit(owner, "a", job(step(1)))
     await until(lambda: len(made.fleet.starts) == 1)
     table.free.clear()
-    await until(lambda: owner.board.jobs["a"].verdict is not None)
+    await until(lambda: owner.cluster_state.jobs["a"].verdict is not None)
     assert owner.state("a").state == "running"
     return owner, table
 
 
 @pytest.mark.parametrize("stored_after_s", [0.0, SLOW_S])
-def test_a_question_waits_for_an_end_that_is_being_stored(
+def test_state_query_waits_for_end_being_stored(
     stored_after_s: float,
 ) -> None:
     async def run() -> None:
-        async with cell(workers=1, table=HeldTable()) as made:
+        async with cell(workers=1, table=PausableTable()) as made:
             owner, table = await _ended_but_not_stored(made)
             asked = asyncio.create_task(owner.settled_state("a"))
             await asyncio.sleep(stored_after_s)
             table.free.set()
             assert (await asked).state == "completed"
 
-    go(run())
+    run_async(run())
 
 
 @pytest.mark.parametrize("answers", [True, False], ids=["slow", "does not answer"])
-def test_a_question_does_not_wait_for_a_table_that_may_not_come(answers: bool) -> None:
+def test_state_query_wait_is_bounded(answers: bool) -> None:
     """An end that is not stored is never told; the wait for it is bounded."""
 
     async def run() -> None:
-        async with cell(workers=1, table=HeldTable()) as made:
+        async with cell(workers=1, table=PausableTable()) as made:
             owner, table = await _ended_but_not_stored(made)
             owner.store_answers = answers
             began = made.clock.now()
             assert (await owner.settled_state("a")).state == "running"
             waited_s = made.clock.now() - began
-            assert waited_s >= (END_STORED_S if answers else 0.0)
-            assert answers or waited_s < END_STORED_S
+            assert waited_s >= (END_STORED_TIMEOUT_S if answers else 0.0)
+            assert answers or waited_s < END_STORED_TIMEOUT_S
             table.free.set()
 
-    go(run())
+    run_async(run())
 
 
-def test_a_question_about_what_goes_on_is_answered_at_once() -> None:
+def test_state_query_of_running_job_returns_immediately() -> None:
     async def run() -> None:
-        async with cell(workers=1, table=HeldTable()) as made:
+        async with cell(workers=1, table=PausableTable()) as made:
             owner = await made.own()
             await submit(owner, "a", job(step(1, processors=4000)))
             asked = asyncio.create_task(owner.settled_state("a"))
             await asyncio.sleep(0)
             assert asked.done() and asked.result().known
 
-    go(run())
+    run_async(run())
--- a/tests/test_unanswered_starts.py
+++ b/tests/test_unanswered_starts.py
@@ -11,14 +11,14 @@
 import pytest
 
 from cranberrycleat.standins.fleet import StandinFleet
-from cranberrycleat.workflow.answer_timeout import LEAST_S
+from cranberrycleat.workflow.answer_timeout import MIN_TIMEOUT_S
 from cranberrycleat.workflow.ports import OrderReply, StartOrder, WorkerEntry
 from tests.cell import cell, job, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 
 @attrs.define(kw_only=True, eq=False)
-class NotingFleet(StandinFleet):
+class TimeoutRecordingFleet(StandinFleet):
     """Notes how long each start may wait for its answer."""
 
     limits: list[float] = attrs.field(factory=list)
@@ -32,40 +32,40 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_a_start_without_answer_is_sent_again_within_what_answers_take(
+def test_unanswered_start_is_resent_after_adaptive_timeout(
     lost: int,
 ) -> None:
     async def run() -> None:
-        fleet = NotingFleet()
-        async with cell(workers=1, fleet=fleet) as made:
-            owner = await made.own()
+        fleet = TimeoutRecordingFleet()
+        async with cell(workers=1, fleet=fleet) as env:
+            owner = await env.own()
             await submit(owner, "first", job(step(4)))
-            await until(lambda: len(made.fleet.starts) == 4)
-            made.fleet.workers["w0"].lose_starts = lost
-            began = made.clock.now()
+            await until(lambda: len(env.fleet.starts) == 4)
+            env.fleet.workers["w0"].unanswered_starts = lost
+            began = env.clock.now()
             fleet.limits.clear()
             await submit(owner, "a", job(step(1)))
-            await until(lambda: len(made.fleet.starts) == 5)
-            assert fleet.limits[:lost] == [LEAST_S * 2**n for n in range(lost)]
-            assert made.clock.now() - began >= fleet.limits[0]
-            assert not made.fleet.faults
+            await until(lambda: len(env.fleet.starts) == 5)
+            assert fleet.limits[:lost] == [MIN_TIMEOUT_S * 2**n for n in range(lost)]
+            assert env.clock.now() - began >= fleet.limits[0]
+            assert not env.fleet.faults
 
-    go(run())
+    run_async(run())
 
 
-def test_a_late_copy_does_no_harm() -> None:
+def test_late_copy_of_start_runs_once() -> None:
     """Copy and original reach the worker in either order: it runs once."""
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
-            worker = made.fleet.workers["w0"]
-            worker.lose_starts = 1
+        async with cell(workers=1) as env:
+            owner = await env.own()
+            worker = env.fleet.workers["w0"]
+            worker.unanswered_starts = 1
             await submit(owner, "a", job(step(1)))
-            await until(lambda: len(made.fleet.starts) == 1)
+            await until(lambda: len(env.fleet.starts) == 1)
             for late in worker.late:
-                made.fleet.carry_out(worker, late)
+                env.fleet.carry_out(worker, late)
             await asyncio.sleep(0.1)
-            assert len(made.fleet.starts) == 1 and not made.fleet.faults
+            assert len(env.fleet.starts) == 1 and not env.fleet.faults
 
-    go(run())
+    run_async(run())
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -10,33 +10,33 @@
 """
 
 from tests.cell import cell, job, step, submit, until
-from tests.fakes import go
+from tests.fakes import run_async
 
 
-def test_a_job_waits_until_a_worker_has_accepted_a_start() -> None:
+def test_job_counts_as_waiting_until_start_is_accepted() -> None:
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
-            made.fleet.workers["w0"].silent = True
+        async with cell(workers=1) as running_cell:
+            owner = await running_cell.own()
+            running_cell.fleet.workers["w0"].silent = True
             await submit(owner, "a", job(step(1)))
-            await until(lambda: bool(owner.board.placed.get("a")))
-            assert not made.fleet.starts
-            assert owner.board.waiting_of("q") == 1
+            await until(lambda: bool(owner.cluster_state.placed.get("a")))
+            assert not running_cell.fleet.starts
+            assert owner.cluster_state.queue_length("q") == 1
 
-    go(run())
+    run_async(run())
 
 
-def test_a_job_waits_though_a_stop_overtook_its_start() -> None:
+def test_job_counts_as_waiting_when_stop_overtakes_start() -> None:
     """A worker answers 'an old attempt' to a start that it was told to stop before."""
 
     async def run() -> None:
-        async with cell(workers=1) as made:
-            owner = await made.own()
-            made.fleet.workers["w0"].void["a.0.0.0"] = 1_000
+        async with cell(workers=1) as running_cell:
+            owner = await running_cell.own()
+            running_cell.fleet.workers["w0"].void["a.0.0.0"] = 1_000
             await submit(owner, "a", job(step(1)))
-            task = owner.board.jobs["a"].open[0].steps[0].tasks[0]
+            task = owner.cluster_state.jobs["a"].open[0].steps[0].tasks[0]
             await until(lambda: task.attempt > 2)
-            assert not made.fleet.starts
-            assert owner.board.waiting_of("q") == 1
+            assert not running_cell.fleet.starts
+            assert owner.cluster_state.queue_length("q") == 1
 
-    go(run())
+    run_async(run())
--- a/tests/test_worker_channel.py
+++ b/tests/test_worker_channel.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cranberrycleat.amounts import Amounts
-from cranberrycleat.http_client import ConnectionGone, HttpClient
+from cranberrycleat.http_client import ConnectionClosed, HttpClient
 from cranberrycleat.platform.workers import PlatformPermits, PlatformWorkers
 from cranberrycleat.workflow.ports import (
     Permit,
@@ -20,7 +20,7 @@
     WorkerEntry,
     WorkerUnreachable,
 )
-from tests.fakes import go
+from tests.fakes import run_async
 from tests.http_workers import HttpProcess
 
 BORN_MS = 1_000
@@ -89,7 +89,7 @@
 
 
 # Guards against ends that a restarted worker forgets untold (TWICE).
-def test_a_restarted_worker_gets_no_number_of_its_last_incarnation() -> None:
+def test_restarted_worker_gets_no_acknowledgement_of_previous_incarnation() -> None:
     async def run() -> None:
         async with worker() as (first, client, entry):
             await ask(client, entry, 0)
@@ -103,13 +103,13 @@
             assert {each.born_ms for each in replies} == {BORN_MS + 5}
             await second.kill()
 
-    go(run())
+    run_async(run())
 
 
 # Guards against ends that a live worker keeps for ever: a new connection to the same
 # incarnation acknowledges once that has answered on it.
 @pytest.mark.parametrize("born_ms", [BORN_MS, None], ids=["told", "not told"])
-def test_a_new_connection_acknowledges_after_an_answer(born_ms: int | None) -> None:
+def test_new_connection_acknowledges_after_first_reply(born_ms: int | None) -> None:
     async def run() -> None:
         async with worker() as (first, client, entry):
             await ask(client, entry, 0)
@@ -121,10 +121,10 @@
             assert again.acknowledged == [0, 7]
             await again.kill()
 
-    go(run())
+    run_async(run())
 
 
-def test_an_answer_that_tells_no_incarnation_verifies_no_connection() -> None:
+def test_reply_without_incarnation_does_not_verify_connection() -> None:
     """A refusal has no lists, and may come from any incarnation."""
 
     async def run() -> None:
@@ -138,31 +138,37 @@
             await ask(client, entry, 7)
             assert process.acknowledged == [0, 0, 0, 7]
 
-    go(run())
+    run_async(run())
 
 
-def test_a_request_for_a_closed_connection_is_not_sent() -> None:
+def test_request_for_closed_connection_is_not_sent() -> None:
     async def run() -> None:
         async with worker() as (process, _, entry):
-            http = HttpClient(most_connections=1)
+            http = HttpClient(max_connections=1)
             url = f"http://{entry.address}/"
             try:
                 await http.call("POST", url, body=b"{}", timeout_s=1.0)
-                await http.call("POST", url, body=b"{}", timeout_s=1.0, over=1)
-                assert http.opened == 1 and len(process.seen) == 2
-                with pytest.raises(ConnectionGone) as found:
-                    await http.call("POST", url, body=b"{}", timeout_s=1.0, over=2)
+                await http.call(
+                    "POST", url, body=b"{}", timeout_s=1.0, required_connection=1
+                )
+                assert http.connections_opened == 1 and len(process.seen) == 2
+                with pytest.raises(ConnectionClosed) as found:
+                    await http.call(
+                        "POST", url, body=b"{}", timeout_s=1.0, required_connection=2
+                    )
                 await process.kill()
-                with pytest.raises(ConnectionGone):
-                    await http.call("POST", url, body=b"{}", timeout_s=1.0, over=1)
+                with pytest.raises(ConnectionClosed):
+                    await http.call(
+                        "POST", url, body=b"{}", timeout_s=1.0, required_connection=1
+                    )
                 assert not found.value.sent and len(process.seen) == 2
             finally:
                 await http.close()
 
-    go(run())
+    run_async(run())
 
 
-def test_permits_are_asked_for_by_identity_and_kept_by_incarnation() -> None:
+def test_permits_are_requested_by_identity_and_kept_by_incarnation() -> None:
     """The service knows identities; a ticket is of one incarnation."""
 
     async def run() -> None:
@@ -179,4 +185,4 @@
             finally:
                 await http.close()
 
-    go(run())
+    run_async(run())
--- a/tests/test_worker_rows.py
+++ b/tests/test_worker_rows.py
@@ -15,14 +15,14 @@
     directory as directory_module,
     roster as roster_module,
 )
-from cranberrycleat.workflow.board import Board
-from cranberrycleat.workflow.directory import Directory
-from cranberrycleat.workflow.fleet import FleetWorker, Standing
+from cranberrycleat.workflow.cluster_state import ClusterState
+from cranberrycleat.workflow.directory import WorkerDirectory
+from cranberrycleat.workflow.fleet import FleetWorker, Liveness
 from cranberrycleat.workflow.membership import Membership
 from cranberrycleat.workflow.roster import Roster
 from tests.cell import BOUNDS
 
-GOOD: dict[str, object] = {
+VALID_ROW: dict[str, object] = {
     "service": "s",
     "addr": "10.0.0.1:80",
     "zone": "z",
@@ -31,16 +31,16 @@
     "labels": ["a", "r1-3"],
     "clock_ms": 5,
 }
-LEFT_OUT = object()
-BAD: list[tuple[dict[str, object], str]] = [
-    ({"state": LEFT_OUT}, "servers/i-1"),
+OMITTED = object()
+INVALID_ROWS: list[tuple[dict[str, object], str]] = [
+    ({"state": OMITTED}, "servers/i-1"),
     ({"state": "sleeping"}, "servers/i-1.state"),
     ({"state": 3}, "servers/i-1"),
-    ({"capacity": LEFT_OUT}, "servers/i-1"),
+    ({"capacity": OMITTED}, "servers/i-1"),
     ({"capacity": {"cpu": -1}}, "servers/i-1.capacity.cpu"),
     ({"capacity": {"cpu": 1, "gpu": -2}}, "servers/i-1.capacity.gpu"),
     ({"capacity": "much"}, "servers/i-1"),
-    ({"addr": LEFT_OUT}, "servers/i-1"),
+    ({"addr": OMITTED}, "servers/i-1"),
     ({"addr": "somewhere"}, "servers/i-1.addr"),
     ({"addr": "10.0.0.1"}, "servers/i-1.addr"),
     ({"addr": "10.0.0.1:0"}, "servers/i-1.addr"),
@@ -56,13 +56,13 @@
 
 def row(changes: dict[str, object], version: int = 1, worker: str = "i-1") -> Row:
     """Return a worker's row with some fields changed or left out."""
-    fields = {**GOOD, **changes}
-    kept = {name: each for name, each in fields.items() if each is not LEFT_OUT}
+    fields = {**VALID_ROW, **changes}
+    kept = {name: each for name, each in fields.items() if each is not OMITTED}
     return Row(key=f"servers/{worker}", version=version, value=json.dumps(kept))
 
 
-@pytest.mark.parametrize(("changes", "place"), BAD)
-def test_a_row_that_cannot_be_relied_on_gives_its_place(
+@pytest.mark.parametrize(("changes", "place"), INVALID_ROWS)
+def test_invalid_row_reports_its_location(
     changes: dict[str, object], place: str
 ) -> None:
     """No worker comes of it."""
@@ -71,7 +71,7 @@
     assert [each.place for each in caught.value.findings] == [place]
 
 
-def test_every_fault_of_a_row_is_told_at_once() -> None:
+def test_all_faults_of_row_are_reported_together() -> None:
     """Whoever mends the row need not come back for each."""
     with pytest.raises(errors.FindingsError) as caught:
         read_worker(row({"state": "", "addr": "x", "capacity": {"cpu": -1}}))
@@ -81,23 +81,23 @@
 json_values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
     lambda inner: st.lists(inner, max_size=3)
-    | st.dictionaries(st.sampled_from(sorted(GOOD)), inner, max_size=4),
+    | st.dictionaries(st.sampled_from(sorted(VALID_ROW)), inner, max_size=4),
     max_leaves=8,
 )
 
 
 @given(st.one_of(st.text(), json_values.map(json.dumps)))
-def test_any_text_is_an_entry_or_a_finding(text: str) -> None:
+def test_any_text_yields_entry_or_finding(text: str) -> None:
     """Nothing else may come out, whatever stands in the row."""
     _read_any(text)
 
 
-@given(st.dictionaries(st.sampled_from(sorted(GOOD)), json_values, max_size=3))
-def test_any_value_of_a_field_is_an_entry_or_a_finding(
+@given(st.dictionaries(st.sampled_from(sorted(VALID_ROW)), json_values, max_size=3))
+def test_any_field_value_yields_entry_or_finding(
     changes: dict[str, object],
 ) -> None:
     """The same for rows of the right form but for some fields."""
-    _read_any(json.dumps({**GOOD, **changes}))
+    _read_any(json.dumps({**VALID_ROW, **changes}))
 
 
 def _read_any(text: str) -> None:
@@ -111,7 +111,7 @@
 
 
 @pytest.fixture(name="told")
-def told_events(monkeypatch: pytest.MonkeyPatch) -> list[object]:
+def emitted_events(monkeypatch: pytest.MonkeyPatch) -> list[object]:
     """Return the list that what is logged goes to."""
     told: list[object] = []
     monkeypatch.setattr(directory_module, "emit", told.append)
@@ -119,7 +119,7 @@
     return told
 
 
-def unreadable(told: list[object]) -> int:
+def count_unreadable(told: list[object]) -> int:
     """Return how many findings about rows were logged."""
     return sum(isinstance(each, events.RowUnreadable) for each in told)
 
@@ -129,55 +129,57 @@
     table.apply(Transaction(puts=(Put(key=found.key, value=found.value),)))
 
 
-def list_of(table: MemoryFeedTable) -> Directory:
+def make_directory(table: MemoryFeedTable) -> WorkerDirectory:
     """Return a reader of the list of workers."""
-    return Directory(store=table, table="servers", read=read_worker)
+    return WorkerDirectory(store=table, table="servers", read=read_worker)
 
 
 @pytest.mark.parametrize("place", range(3))
-@pytest.mark.parametrize("changes", [bad for bad, _ in BAD])
-def test_one_bad_row_hides_no_other(
+@pytest.mark.parametrize("changes", [bad for bad, _ in INVALID_ROWS])
+def test_invalid_row_does_not_hide_others(
     place: int, changes: dict[str, object], told: list[object]
 ) -> None:
     """Wherever it stands in the list."""
     table = MemoryFeedTable()
     for number in range(3):
         put(table, row(changes if number == place else {}, worker=f"i-{number}"))
-    found = list_of(table)
+    found = make_directory(table)
     asyncio.run(found.read_all())
     asyncio.run(found.read_all())
     assert set(found.entries) == {f"i-{n}" for n in range(3) if n != place}
-    assert unreadable(told) == 1
+    assert count_unreadable(told) == 1
 
 
-def test_a_worker_whose_row_turns_unreadable_keeps_its_work(
+def test_worker_whose_row_becomes_unreadable_keeps_its_tasks(
     told: list[object],
 ) -> None:
     """It draws nothing; what runs there is neither forgotten nor doubled."""
     table = MemoryFeedTable()
     put(table, row({}))
-    found = list_of(table)
+    found = make_directory(table)
     asyncio.run(found.read_all())
-    worker = FleetWorker(entry=found.entries["i-1"], standing=Standing.LIVE)
-    assert worker.may_draw(0.0) and worker.may_begin()
+    worker = FleetWorker(entry=found.entries["i-1"], liveness=Liveness.LIVE)
+    assert worker.may_accept_work(0.0) and worker.may_start()
     put(table, row({"state": "sleeping"}))
     assert asyncio.run(found.refresh())
     worker.update(found.entries["i-1"])
-    assert not worker.may_draw(0.0) and not worker.may_begin()
-    assert worker.entry.address == GOOD["addr"] and not worker.entry.leaving
+    assert not worker.may_accept_work(0.0) and not worker.may_start()
+    assert worker.entry.address == VALID_ROW["addr"] and not worker.entry.leaving
     put(table, row({}))
     asyncio.run(found.refresh())
     worker.update(found.entries["i-1"])
-    assert worker.may_draw(0.0)
-    assert unreadable(told) == 1
+    assert worker.may_accept_work(0.0)
+    assert count_unreadable(told) == 1
 
 
-def roster(
-    found: Directory, joined: list[str], pools: Callable[[], frozenset[str] | None]
+def make_roster(
+    found: WorkerDirectory,
+    joined: list[str],
+    pools: Callable[[], frozenset[str] | None],
 ) -> Roster:
     """Return a roster that notes which links it begins."""
     return Roster(
-        board=Board(),
+        cluster_state=ClusterState(),
         directory=found,
         members=Membership(),
         links={},
@@ -188,36 +190,36 @@
     )
 
 
-def test_a_worker_of_a_service_that_nobody_named_gets_no_link(
+def test_worker_of_unconfigured_service_gets_no_link(
     told: list[object],
 ) -> None:
     """It is met as soon as a configuration names its service."""
     table = MemoryFeedTable()
     put(table, row({"service": "other"}))
     put(table, row({}, worker="i-2"))
-    found = list_of(table)
+    found = make_directory(table)
     asyncio.run(found.read_all())
     named = {"s"}
     joined: list[str] = []
-    met = roster(found, joined, lambda: frozenset(named))
-    met.refresh()
-    met.refresh()
+    fleet_roster = make_roster(found, joined, lambda: frozenset(named))
+    fleet_roster.refresh()
+    fleet_roster.refresh()
     assert joined == ["i-2"]
-    assert unreadable(told) == 1
+    assert count_unreadable(told) == 1
     named.add("other")
-    met.refresh()
+    fleet_roster.refresh()
     assert joined == ["i-2", "i-1"]
 
 
-def test_without_a_configuration_every_worker_is_met(
+def test_without_configuration_every_worker_gets_a_link(
     told: list[object],
 ) -> None:
     """Work that an earlier owner placed must be renewed before one is read."""
     table = MemoryFeedTable()
     put(table, row({}))
-    found = list_of(table)
+    found = make_directory(table)
     asyncio.run(found.read_all())
     joined: list[str] = []
-    roster(found, joined, lambda: None).refresh()
+    make_roster(found, joined, lambda: None).refresh()
     assert joined == ["i-1"]
-    assert not unreadable(told)
+    assert not count_unreadable(told)
--- a/tests/test_writes.py
+++ b/tests/test_writes.py
@@ -5,14 +5,21 @@
 import pytest
 
 from cranberrycleat import errors
-from cranberrycleat.claims import Claim, Claims, Replay, kept
+from cranberrycleat.claims import Claim, ClaimStore, Replay, stored_answer
 from cranberrycleat.clock import ManualClock
 from cranberrycleat.messages import ConfigDocument
 from cranberrycleat.standins.table import MemoryTable
 from cranberrycleat.table import ABSENT, Check, Put
 from cranberrycleat.watcher import HEAD_KEY, ConfigWatcher
-from cranberrycleat.writer import REST_S, Change, GroupedWriter, Lost, Unsettled, Won
-from tests.fakes import LateTable, go
+from cranberrycleat.writer import (
+    FAILURE_BACKOFF_S,
+    BatchingWriter,
+    Change,
+    Committed,
+    Conflicted,
+    OutcomeUnknown,
+)
+from tests.fakes import DelayedTable, run_async
 
 
 def change(key: str, value: str, version: int = ABSENT) -> Change:
@@ -25,17 +32,19 @@
 def write_all(table: MemoryTable, *changes: Change) -> list[object]:
     """Write changes at the same time and return their results' types."""
 
-    async def whole() -> list[object]:
-        writer = GroupedWriter(table=table, gather_s=0)
+    async def write_concurrently() -> list[object]:
+        writer = BatchingWriter(table=table, batch_window_s=0)
         return [type(r) for r in await asyncio.gather(*map(writer.write, changes))]
 
-    return go(whole())
+    return run_async(write_concurrently())
 
 
 def test_many_changes_are_one_transaction() -> None:
     """Changes that come together cost one write."""
     table = MemoryTable()
-    assert write_all(table, *[change(f"k{n}", "x") for n in range(50)]) == [Won] * 50
+    assert (
+        write_all(table, *[change(f"k{n}", "x") for n in range(50)]) == [Committed] * 50
+    )
     assert table.counts.writes == 1
 
 
@@ -45,17 +54,19 @@
     write_all(table, change("b", "first"))
     assert write_all(
         table, change("a", "x"), change("b", "second"), change("c", "x")
-    ) == [Won, Lost, Won]
+    ) == [Committed, Conflicted, Committed]
     assert table.rows["b"].value == '"first"'
 
 
-def test_two_changes_of_one_row_do_not_meet_in_a_transaction() -> None:
+def test_changes_of_one_row_go_into_separate_transactions() -> None:
     """The second of two equal claims loses."""
     found = write_all(MemoryTable(), change("a", "x"), change("a", "y"))
-    assert found == [Won, Lost]
+    assert found == [Committed, Conflicted]
 
 
-@pytest.mark.parametrize(("lost", "expected"), [(1, Won), (2, Won), (3, Unsettled)])
+@pytest.mark.parametrize(
+    ("lost", "expected"), [(1, Committed), (2, Committed), (3, OutcomeUnknown)]
+)
 def test_lost_replies_are_settled(lost: int, expected: object) -> None:
     """A change that took effect unanswered is told from one that lost."""
     table = MemoryTable()
@@ -65,33 +76,33 @@
     assert write_all(table, change("a", "x")) == [expected]
 
 
-def test_who_asks_after_a_failure_is_told_at_once() -> None:
+def test_writes_fail_fast_after_a_table_failure() -> None:
     """While the table is known to be out of reach nothing is tried, for a while."""
     table, clock = MemoryTable(), ManualClock(time_s=50.0)
-    writer = GroupedWriter(table=table, gather_s=0, clock=clock)
+    writer = BatchingWriter(table=table, batch_window_s=0, clock=clock)
 
-    async def whole() -> None:
+    async def scenario() -> None:
         table.faults.down = True
-        assert isinstance(await writer.write(change("a", "x")), Unsettled)
+        assert isinstance(await writer.write(change("a", "x")), OutcomeUnknown)
         tried = writer.transactions
-        assert isinstance(await writer.write(change("b", "x")), Unsettled)
+        assert isinstance(await writer.write(change("b", "x")), OutcomeUnknown)
         assert writer.transactions == tried
         table.faults.down = False
-        clock.advance(seconds=REST_S + 0.1)
-        assert isinstance(await writer.write(change("c", "x")), Won)
+        clock.advance(seconds=FAILURE_BACKOFF_S + 0.1)
+        assert isinstance(await writer.write(change("c", "x")), Committed)
 
-    go(whole())
+    run_async(scenario())
 
 
-def make_claims(table: MemoryTable) -> Claims:
+def make_claims(table: MemoryTable) -> ClaimStore:
     """Return a gateway's claims."""
-    return Claims(writer=GroupedWriter(table=table, gather_s=0))
+    return ClaimStore(writer=BatchingWriter(table=table, batch_window_s=0))
 
 
 def outcome(table: MemoryTable, mark: str = "m") -> str:
     """Claim key `k` as a fresh gateway would; say what came of it."""
     try:
-        found = go(make_claims(table).claim(key="k", mark=mark))
+        found = run_async(make_claims(table).claim(key="k", mark=mark))
     except errors.ProblemError as exc:
         return exc.code
     return type(found).__name__
@@ -112,18 +123,18 @@
     """An answer is replayed; what was proved not run may run."""
     table = MemoryTable()
 
-    async def settle() -> None:
+    async def record_outcome() -> None:
         claims = make_claims(table)
         claim = await claims.claim(key="k", mark="m")
         assert isinstance(claim, Claim)
-        answer = kept(200, "text/plain", b"ok") if answered else None
-        await claims.settle(claim, answer)
+        answer = stored_answer(200, "text/plain", b"ok") if answered else None
+        await claims.record_outcome(claim, answer)
 
-    go(settle())
+    run_async(record_outcome())
     assert outcome(table) == expected
 
 
-def test_no_table_no_claim() -> None:
+def test_claim_without_a_table_is_not_run() -> None:
     """In an outage the answer is 'not run' at once."""
     table = MemoryTable()
     table.faults.down = True
@@ -143,7 +154,7 @@
     """Propose a configuration; return its version or the refusal's code."""
     try:
         watcher = ConfigWatcher(table=table)
-        return go(watcher.propose(text=text, made_from=made_from)).version
+        return run_async(watcher.propose(text=text, made_from=made_from)).version
     except errors.ProblemError as exc:
         return exc.code
 
@@ -168,10 +179,10 @@
 
 def test_unanswered_change_is_not_called_accepted() -> None:
     """Where no answer comes at all, the outcome is said to be unknown."""
-    late = LateTable(hold=True)
+    late = DelayedTable(delay_commits=True)
     watcher = ConfigWatcher(table=late)
     with pytest.raises(errors.ProblemError) as caught:
-        go(watcher.propose(text="1", made_from=0))
+        run_async(watcher.propose(text="1", made_from=0))
     assert caught.value.code == errors.OUTCOME_UNKNOWN
     assert watcher.version == 0
 
