--- a/cranberrycleat/bench/__init__.py
+++ b/cranberrycleat/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements beside their baselines: placement, routing, control."""
+"""Benchmarks of placement, routing and control, each compared with baselines."""
--- a/cranberrycleat/bench/control.py
+++ b/cranberrycleat/bench/control.py
@@ -1,9 +1,9 @@
-"""`bench control`: what control costs, as slopes over workers, tasks and peers.
+"""`bench control`: cost of the control plane by number of workers, tasks and peers.
 
-A scheduler process owns a shard of fake workers (one process answers for all of
-them), with services running, and nothing else happens: what is measured is the
-upkeep. A gateway process exchanges digests with a number of peers. From two
-sizes of each come the slopes, from the slopes the cost at full size.
+A scheduler process owns a shard of fake workers, for which a single server answers.
+Services are running and nothing else happens, so the benchmark measures the
+steady-state overhead. A gateway process exchanges digests with a number of peers. Each
+is measured at two sizes, from which the slopes and the cost at full size follow.
 """
 
 import asyncio
@@ -28,27 +28,27 @@
 from cranberrycleat.table_http import HttpPlatform
 
 SHARD_WORKERS: Final = 208
-"""Workers of one data centre at full size: 2,500 over 12."""
+"""Workers of one data centre at full size: 2,500 in 12 data centres."""
 SHARDS: Final = 12
 TASKS_PER_WORKER: Final = 16
 PEERS_FULL: Final = 6
 """A gateway's peers: the other entry hosts of its data centre."""
 ENDPOINTS_FULL: Final = 667
-"""Endpoints of one data centre: 8,000 service tasks over 12."""
+"""Endpoints of one data centre: 8,000 service tasks in 12 data centres."""
 SIZES: Final = (104, SHARD_WORKERS)
 HEAD_BYTES: Final = 180
-"""Request line, status line and header lines that the server adds itself."""
+"""Size of the request line, the status line and the headers added by the server."""
 PAGE_BYTES: Final = os.sysconf("SC_PAGE_SIZE")
 
 
 @attrs.define(kw_only=True, eq=False)
 class FakeWorkers:
-    """Many worker stand-ins behind one server, by the first part of the path.
+    """Many simulated workers behind one server; the first path segment selects one.
 
     Attributes:
-        workers: The stand-ins, by name.
-        syncs: How many syncs they answered.
-        bytes: Bytes of those, both ways.
+        workers: The simulated workers by name.
+        syncs: Number of syncs answered.
+        bytes: Bytes of these syncs in both directions.
     """
 
     workers: dict[str, WorkerStandin] = attrs.field(factory=dict)
@@ -77,14 +77,14 @@
 
 @attrs.frozen(kw_only=True)
 class ControlFigures:
-    """What one process cost over the time it was watched.
+    """Cost of one process during its measurement.
 
     Attributes:
         size: Workers of the shard, or peers of the gateway.
-        tasks: Tasks that ran, or endpoints that were known.
-        rss_mb: Resident memory, in mebibytes.
-        cpu_share: Share of one core.
-        bytes_per_s: Bytes on the wire for upkeep, both ways.
+        tasks: Running tasks, or known endpoints.
+        rss_mb: Resident memory in mebibytes.
+        cpu_share: CPU usage as a share of one core.
+        bytes_per_s: Control traffic in both directions.
         table_writes_per_s: Transactions.
         table_reads_per_s: Reads and scans.
     """
@@ -103,13 +103,13 @@
     """The cost at full size.
 
     Attributes:
-        rss_mb_scheduler: An owner of one data centre of the full size.
-        rss_mb_gateway: A gateway of such a data centre.
-        cpu_share_full_size: The owner's share of a core.
-        bytes_per_s_full_size: The owner's bytes on the wire, to all its workers.
-        bytes_per_s_worker: The same for each worker's host.
-        table_writes_per_s_full_size: All owners together.
-        table_reads_per_s_full_size: All owners, candidates and gateways together.
+        rss_mb_scheduler: Resident memory of the owner of one full-size data centre.
+        rss_mb_gateway: Resident memory of a gateway in such a data centre.
+        cpu_share_full_size: CPU usage of that owner as a share of one core.
+        bytes_per_s_full_size: Traffic between that owner and all its workers.
+        bytes_per_s_worker: The same for one worker's host.
+        table_writes_per_s_full_size: Transactions of all owners.
+        table_reads_per_s_full_size: Reads of all owners, candidates and gateways.
     """
 
     rss_mb_scheduler: float
@@ -123,7 +123,7 @@
 
 @attrs.frozen(kw_only=True)
 class ControlReport:
-    """Everything that one run of the bench measured."""
+    """All results of one benchmark run."""
 
     seconds: float
     summary: ControlSummary
@@ -134,17 +134,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ControlBench:
-    """One run of the bench.
+    """One run of the benchmark.
 
     Attributes:
-        seconds: How long each process is watched.
+        seconds: How long each process is measured.
+        started: The processes started so far.
     """
 
     seconds: float
     started: list["subprocess.Popen[str]"] = attrs.field(factory=list)
 
     async def run(self) -> ControlReport:
-        """Run every part and return the report."""
+        """Run all measurements and return the report."""
         try:
             owners = [await self._owner(size) for size in SIZES]
             gateways = [await self._gateway(peers) for peers in (1, PEERS_FULL)]
@@ -162,7 +163,7 @@
         )
 
     async def _owner(self, size: int) -> tuple[ControlFigures, ControlFigures]:
-        """Watch an owner of so many workers, and a candidate beside it."""
+        """Measure an owner of `size` workers, then a candidate running next to it."""
         platform = PlatformStandin(host=LOOPBACK, port=0)
         await platform.start()
         fakes = FakeWorkers()
@@ -193,7 +194,7 @@
     async def _candidate(
         self, platform: PlatformStandin, owner: ControlFigures
     ) -> ControlFigures:
-        """Watch a candidate; its reads are what comes on top of the owner's."""
+        """Measure a candidate; its table reads are the total minus the owner's."""
         candidate = self._start("scheduler", "s2", platform.url)
         await asyncio.sleep(1.0)
         before = (platform.table.counts.reads, candidate.cpu_s())
@@ -231,7 +232,7 @@
     async def _wait_until_running(
         self, platform: PlatformStandin, fakes: FakeWorkers, size: int
     ) -> None:
-        """Submit the services and wait until all of them run."""
+        """Submit the services and wait until all their tasks run."""
         client = HttpPlatform(url=platform.url)
         acceptance = Acceptance(platform=client, data_centre="dc")
         for number in range(TASKS_PER_WORKER):
@@ -275,7 +276,7 @@
         return figures
 
     async def _digest_bytes(self, url: str) -> float:
-        """Return the bytes of one digest and its answer, nothing being new."""
+        """Return the size of a digest exchange without new information."""
         known = (EndpointSetVersion(data_centre="dc", epoch=1, revision=1),)
         digest = attrs.evolve(Hub().own_digest(), role="gateway", seen=known)
         async with make_client(timeout_s=5) as client:
@@ -299,7 +300,7 @@
 
 
 class FullSizeHub(Hub):
-    """A hub whose endpoints are as many as those of a full data centre."""
+    """A hub with as many endpoints as a full-size data centre."""
 
     def endpoint(self, url: str) -> Endpoint:
         """Return one endpoint of one of many services."""
@@ -308,7 +309,7 @@
 
 
 def rss_mb(router: Router) -> float:
-    """Return a process's resident memory, in mebibytes."""
+    """Return a process's resident memory in mebibytes."""
     with open(f"/proc/{router.process.pid}/statm", encoding="ascii") as file:
         pages = int(file.read().split()[1])
     return round(pages * PAGE_BYTES / (1024 * 1024), 1)
--- a/cranberrycleat/bench/load.py
+++ b/cranberrycleat/bench/load.py
@@ -1,6 +1,6 @@
-"""The callers of `bench routing`, one process for each gateway or baseline.
+"""Open-loop load generator of `bench routing`, one process per gateway or baseline.
 
-Requests arrive at random times at a fixed mean rate, whatever is answered.
+Requests are sent at random times with a fixed mean rate, independent of the answers.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 
 @attrs.frozen(kw_only=True)
 class LoadPlan:
-    """What one caller process does.
+    """Parameters of one load generator process.
 
     Attributes:
         url: The gateway or baseline to call.
-        rate: Mean arrivals a second.
-        seconds: For how long.
+        rate: Mean arrivals per second.
+        seconds: Duration.
         seed: The seed of the arrival times.
-        timeout_s: How long a caller waits.
+        timeout_s: Timeout of a request.
     """
 
     url: str
@@ -39,17 +39,17 @@
 
 @attrs.define(kw_only=True)
 class LoadResult:
-    """What one caller process saw.
+    """Results of one load generator process.
 
     Attributes:
         offered: Requests sent.
-        good: Answered with status 200 within the caller's time limit.
-        good_in_time: Those of them that came before the phase ended.
-        refused: Refused, with the time each took in `refused_s`.
-        bad: Everything else.
-        good_s: How long each good answer took, in seconds.
-        refused_s: How long each refusal took, in seconds.
-        no_retry_after: Refusals that did not say when to come back.
+        good: Requests answered with status 200 within the timeout.
+        good_in_time: Those of them that were answered before the phase ended.
+        refused: Requests rejected with status 429, 503 or 504.
+        bad: Requests with any other result.
+        good_s: Latencies of the good answers in seconds.
+        refused_s: Latencies of the rejections in seconds.
+        no_retry_after: Rejections without a Retry-After header.
     """
 
     offered: int = 0
@@ -63,12 +63,12 @@
 
 
 async def run_load(plan: LoadPlan) -> LoadResult:
-    """Call at random times, and return what was seen."""
+    """Send requests at random times and return the results."""
     rng = random.Random(plan.seed)
     result = LoadResult()
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=64)
-    # Several small pools: the time a pool takes for a request grows with its
-    # connections, and the callers must not be what is measured.
+    # Several small pools, because the time a pool takes per request grows with its
+    # connections, and the load generator must not limit the measurement.
     pools = [
         httpx.AsyncHTTPTransport(limits=limits, verify=tls_context())
         for _ in range(CONNECTION_POOLS)
--- a/cranberrycleat/bench/parts.py
+++ b/cranberrycleat/bench/parts.py
@@ -1,11 +1,10 @@
-"""The processes that `bench routing` starts: endpoints, and a baseline.
+"""Server processes of `bench routing`: endpoints and a baseline proxy.
 
-* Endpoints: services with slots that answer after a fixed time, some of them
-  slow or failing; they count what reaches them.
-* The baseline: a plain pass-through of litestar and httpx, round robin with
-  three retries, as one would write it in an afternoon.
+* Endpoints: services with a limited number of slots that answer after a fixed time.
+  Some are slow or failing. They count the requests that they receive.
+* The baseline: a naive proxy of Litestar and httpx, with round robin and three retries.
 
-Callers are in `bench.load`.
+The load generator is in `bench.load`.
 """
 
 import asyncio
@@ -30,10 +29,10 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointKind:
-    """How a bench endpoint behaves.
+    """Behaviour of an endpoint.
 
     Attributes:
-        answer_s: How long it takes for a request, in seconds.
+        answer_s: Processing time of a request in seconds.
         fail_share: The share of requests that it answers with status 500.
     """
 
@@ -43,12 +42,12 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointCounts:
-    """What reached an endpoint.
+    """Request counts of an endpoint.
 
     Attributes:
-        received: Requests that reached it.
-        ids: Their ids, each once.
-        over_slots: Requests that met no free slot.
+        received: Requests received.
+        ids: Their distinct request ids.
+        over_slots: Requests received while no slot was free.
     """
 
     received: int
@@ -68,7 +67,7 @@
     in_flight: int = 0
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request, or tell the counts and start them anew."""
+        """Answer one request, or return and reset the counts."""
         if scope["path"] == "/counts":
             await self._answer(send, 200, codec.encode(self._take_counts()))
             return
@@ -113,7 +112,7 @@
 
 
 async def run_endpoints(kinds: tuple[EndpointKind, ...], seed: int) -> None:
-    """Serve endpoints until the process is ended; prints their URLs."""
+    """Serve endpoints until the process is killed; prints their URLs."""
     servers = []
     for number, kind in enumerate(kinds):
         app = BenchEndpoint(kind=kind, rng=random.Random(seed + number))
@@ -125,7 +124,7 @@
 
 
 async def run_naive(urls: tuple[str, ...]) -> None:
-    """Serve the baseline until the process is ended; prints its URL."""
+    """Serve the baseline until the process is killed; prints its URL."""
     targets = itertools.cycle(urls)
     client = httpx.AsyncClient(
         timeout=1.0,
@@ -160,7 +159,7 @@
 
 
 def main(role: str, text: str, seed: int) -> None:
-    """Run one part of the bench; `text` is its plan as JSON."""
+    """Run one server process; `text` contains its parameters as JSON."""
     if role == "endpoints":
         kinds = codec.decode(text, tuple[EndpointKind, ...])
         asyncio.run(run_endpoints(kinds, seed))
--- a/cranberrycleat/bench/placement.py
+++ b/cranberrycleat/bench/placement.py
@@ -1,8 +1,8 @@
-"""`bench placement`: waiting, packing and the cost of deciding, beside baselines.
+"""`bench placement`: waiting times, packing and decision cost, compared with baselines.
 
-Cases: both deployments at 24 workers, one data centre of the full size, the
-full size, and bad days. Every policy meets the same seeded workload in virtual
-time; speeds are of this machine, everything else repeats exactly by seed.
+The cases are both deployments at 24 workers, one full-size data centre, the full size,
+and cases with disturbances. All policies run the same seeded workload in virtual time.
+Speeds depend on the machine; all other results are reproducible by seed.
 """
 
 import math
@@ -101,10 +101,10 @@
 
 @attrs.define(kw_only=True, eq=False)
 class TimedPlanner(RoundPlanner):
-    """The real planner, with the time of each decision about one job.
+    """The production planner, which also measures the time of each job's decision.
 
     Attributes:
-        decision_s: The times, in seconds.
+        decision_s: The times in seconds.
     """
 
     decision_s: list[float] = attrs.field(factory=list)
@@ -112,7 +112,7 @@
     def plan_job(
         self, request: PlacementRequest, racks: dict[str, int], now: float
     ) -> Plan:
-        """Decide about one job, and note how long it took."""
+        """Decide about one job and record how long it took."""
         began = time.perf_counter()
         plan = super().plan_job(request, racks, now)
         if now > 0.0:
@@ -122,7 +122,7 @@
 
 @attrs.frozen(kw_only=True)
 class CaseReport:
-    """One case: our planner, the baselines and the bound."""
+    """Results of one case: this project's planner, the baselines and the bound."""
 
     case: str
     tasks: int
@@ -131,7 +131,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementSummary:
-    """The figures that the project is judged by, for the full size."""
+    """The key metrics, for the full size."""
 
     decisions_per_s: float
     decision_p99_ms: float
@@ -145,7 +145,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementReport:
-    """Everything that one run of the bench measured."""
+    """All results of one benchmark run."""
 
     seed: int
     summary: PlacementSummary
@@ -157,8 +157,8 @@
 
     Args:
         seed: The seed of the workloads.
-        quick: Whether the full size meets only best-fit and the bound, for half the
-            time, and the bad days are left out.
+        quick: Whether to compare the full size only with best-fit and the bound, for
+            half the time, and to skip the cases with disturbances.
     """
     cases = []
     for cell in CELLS:
@@ -225,7 +225,7 @@
 def _run_bound(
     cell: BenchCell, disturbances: Disturbances, jobs: list[BenchJob]
 ) -> RunFigures:
-    """The bound meets the good day: nothing wrong, nothing failing."""
+    """Run the bound, without wrong sizes, failing workers or a lost rack."""
     inventory = make_inventory(cell, pooled=True)
     profile = PlannerProfile(preempts=False, reserve_after_s=math.inf)
     planner = ShortestFirst(
@@ -247,12 +247,12 @@
 
 
 def _fits_some_worker(job: BenchJob, cell: BenchCell) -> bool:
-    """Tell whether some worker is large enough; the pooled one always is."""
+    """Return whether a real worker is large enough; the pooled one always is."""
     return job.needs.processors <= cell.processors * MILLI
 
 
 def _relax(job: BenchJob) -> BenchJob:
-    """Ask for processors only, task by task: no gangs, memory, accelerators."""
+    """Return the job with processors as its only constraint, and without gangs."""
     needs = Amounts(processors=job.needs.processors)
     return attrs.evolve(job, kind=Kind.BATCH, needs=needs, selector="")
 
@@ -305,7 +305,7 @@
 
 
 def state_bytes() -> tuple[float, float]:
-    """Return the bytes that a scheduler's state takes, a worker and a task."""
+    """Return the memory of a scheduler's state in bytes per worker and per task."""
     tracemalloc.start()
     shard = Shard(data_centre="dc")
     before = tracemalloc.get_traced_memory()[0]
--- a/cranberrycleat/bench/policies.py
+++ b/cranberrycleat/bench/policies.py
@@ -1,11 +1,13 @@
 """The baselines of `bench placement`: first-fit, random, best-fit, FIFO, bound.
 
-They place into the same book under the same events. None of them orders by
-anything but priority and arrival, reserves, preempts or learns. The bound
-is the shortest work first on one pooled worker as large as all of them together,
-with true run times and for processors alone: no hosts, racks, memory or gangs.
-It is work divided by capacity, the least work first in a priority. It does not
-preempt, so a policy that checkpoints others may still start urgent work sooner.
+They use the same kind of worker inventory as the planner and receive the same events.
+The baselines order jobs by priority and arrival only, and do not reserve, preempt or
+learn.
+
+The bound runs the shortest work first within a priority, on a single pooled worker as
+large as all workers together. It knows the true run times and considers only
+processors: no hosts, racks, memory or gangs. It does not preempt, so a policy that
+checkpoints other work may still start urgent work sooner.
 """
 
 import math
@@ -21,12 +23,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class BaselinePlanner(RoundPlanner):
-    """A planner that takes jobs in order of priority and arrival.
+    """A planner that places jobs in order of priority and arrival.
 
     Attributes:
-        pick: `first`, `random` or `best`: how a worker is chosen.
-        strict: Whether a job that finds no room holds up all behind it (FIFO).
-        rng: Where chance comes from.
+        strategy: How a worker is selected: `first`, `random` or `best`.
+        strict: Strict FIFO: a job that does not fit blocks all jobs behind it.
+        rng: Random number generator of the `random` strategy.
     """
 
     strategy: str
@@ -40,7 +42,7 @@
         *,
         now: float = 0.0,
     ) -> Plan:
-        """Plan one round."""
+        """Run one scheduling round."""
         self.inventory.begin_round(now)
         self._unfit.clear()
         new_assignments: list[Assignment] = []
@@ -89,7 +91,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ShortestFirst(RoundPlanner):
-    """The planner of the bound: by priority, then the least work a task."""
+    """The planner of the bound: by priority, then by least work per task."""
 
     def _sorted(
         self, requests: list[PlacementRequest], now: float
@@ -101,7 +103,7 @@
 
 
 def baseline(name: str, inventory: WorkerInventory) -> RoundPlanner:
-    """Return a baseline by its name."""
+    """Return the baseline planner of a name."""
     match name:
         case "first-fit":
             return BaselinePlanner(inventory=inventory, strategy="first")
--- a/cranberrycleat/bench/routing.py
+++ b/cranberrycleat/bench/routing.py
@@ -1,9 +1,9 @@
-"""`bench routing`: gateways under overload, beside a naive pass-through.
+"""`bench routing`: gateways under overload, compared with a naive proxy.
 
-Three gateways and three naive pass-throughs stand before the same endpoints:
-some good, one slow, one that fails half of its requests and one that dies half
-way through each phase. Callers offer 0.5, 1, 2 and 4 times what the endpoints
-can answer. Every figure is a ratio within the one run.
+Three gateways and three naive proxies route to the same endpoints: some good ones, a
+slow one, one that fails half of its requests, and one that dies halfway through each
+phase. The offered load is 0.5, 1, 2 and 4 times the capacity of the endpoints. The
+summary contains ratios within one run.
 """
 
 import asyncio
@@ -32,17 +32,17 @@
 FAILING_SHARE: Final = 0.5
 GATEWAYS: Final = 3
 UNLOADED_ENDPOINTS: Final = 4
-"""Endpoints of each side in the unloaded phase."""
+"""Endpoints of each system in the unloaded phase."""
 LOADS: Final = (0.5, 1.0, 2.0, 4.0)
 WARM_UP_S: Final = 1.2
-"""Longer than the time between two digests."""
+"""Must be longer than the interval between two digests."""
 CLOCK_TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
 
 
 def capacity() -> float:
-    """Return the most good answers a second that any router could get.
+    """Return the maximum rate of good answers that the endpoints can give.
 
-    The failing endpoint gives half, and so does the one that dies half way.
+    The failing endpoint and the one that dies halfway contribute half each.
     """
     whole = SLOTS / GOOD_ANSWER_S
     return (
@@ -55,21 +55,21 @@
 
 @attrs.frozen(kw_only=True)
 class Figures:
-    """What one system did under one load.
+    """Results of one system under one load.
 
     Attributes:
-        load: Offered load over capacity.
+        load: Offered load divided by capacity.
         offered: Requests offered.
-        goodput: Good answers a second.
-        p50_ms: Median time of good answers.
-        p99_ms: 99th percentile of the same.
-        refused: Requests refused.
-        refused_p99_ms: 99th percentile of the time a refusal took.
-        bad: Requests with any other end.
-        no_retry_after: Refusals that did not say when to come back.
-        retries_per_request: Sends beyond each request's first, per request.
-        over_slot_share: The share of sends that met no free slot.
-        cpu_ms_per_request: Processor time of the routers, per request offered.
+        goodput: Good answers per second.
+        p50_ms: Median latency of good answers.
+        p99_ms: 99th percentile latency of good answers.
+        refused: Requests rejected.
+        refused_p99_ms: 99th percentile latency of rejections.
+        bad: Requests with any other result.
+        no_retry_after: Rejections without a Retry-After header.
+        retries_per_request: Attempts after the first, per offered request.
+        over_slot_share: The share of attempts that found no free slot.
+        cpu_ms_per_request: CPU time of the routers per offered request.
     """
 
     load: float
@@ -88,7 +88,7 @@
 
 @attrs.frozen(kw_only=True)
 class RoutingSummary:
-    """The figures that the project is judged by."""
+    """The key metrics."""
 
     goodput_ratio_4x: float
     goodput_vs_naive_4x: float
@@ -100,7 +100,7 @@
 
 @attrs.frozen(kw_only=True)
 class RoutingReport:
-    """Everything that one run of the bench measured."""
+    """All results of one benchmark run."""
 
     seed: int
     seconds: float
@@ -134,14 +134,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Hub:
-    """Tells gateways which endpoints there are, as a scheduler would."""
+    """Fake scheduler that announces endpoints to the gateways."""
 
     urls: tuple[str, ...] = ()
     revision: int = 0
     server: HttpServer | None = None
 
     async def start(self) -> str:
-        """Begin to serve and return the URL."""
+        """Start the server and return its URL."""
 
         @post("/v1/digest")
         async def digest(request: Request[Any, Any, Any]) -> Response[bytes]:
@@ -159,7 +159,7 @@
         return self.server.url
 
     def list(self, urls: tuple[str, ...]) -> None:
-        """Change the endpoints."""
+        """Replace the announced endpoints."""
         self.urls = urls
         self.revision += 1
 
@@ -188,11 +188,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class RoutingBench:
-    """One run of the bench.
+    """One run of the benchmark.
 
     Attributes:
         seed: The seed of arrivals and failures.
-        seconds: How long each phase lasts.
+        seconds: Duration of each phase.
+        hub: The fake scheduler.
+        platform: The simulated platform.
+        started: The processes started so far.
     """
 
     seed: int
@@ -204,7 +207,7 @@
     started: list["subprocess.Popen[str]"] = attrs.field(factory=list)
 
     async def run(self) -> RoutingReport:
-        """Run every phase and return the report."""
+        """Run all phases and return the report."""
         await self.platform.start()
         hub_url = await self.hub.start()
         try:
@@ -231,7 +234,7 @@
         for load, load_processes in zip(LOADS, processes.load_processes):
             self.hub.list(processes.steady + (load_processes.ours_dying.url,))
             await asyncio.sleep(WARM_UP_S)
-            # What reached the endpoint that dies is counted for neither side.
+            # Requests to the dying endpoint are counted for neither system.
             dying_process = load_processes.ours_dying.process
             ours.append(
                 await self._run_phase(
@@ -247,8 +250,8 @@
         return self._report(ours, naive, unloaded)
 
     def _start_processes(self, hub_url: str) -> "Stage":
-        """Start every process of the run; side by side, for the start-up time."""
-        # The gateways first: nothing else may take the ports chosen for them.
+        """Start all processes of the run concurrently, to save start-up time."""
+        # The gateways start first, so that no other process takes their ports.
         gateways = self._start_gateways(hub_url)
         healthy = self._start_endpoints(
             (EndpointKind(answer_s=0.0),) * 2 * UNLOADED_ENDPOINTS
@@ -386,7 +389,7 @@
     url: str
 
     def cpu_s(self) -> float:
-        """Return the processor time it has used, in seconds."""
+        """Return the CPU time that it has used, in seconds."""
         with open(f"/proc/{self.process.pid}/stat", encoding="ascii") as file:
             fields = file.read().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
@@ -394,7 +397,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadProcesses:
-    """What one load needs beside the gateways: what dies, and the baselines."""
+    """Processes of one load besides the gateways: dying endpoints and baselines."""
 
     ours_dying: Router
     naive_dying: Router
@@ -403,14 +406,14 @@
 
 @attrs.frozen(kw_only=True)
 class Stage:
-    """Every process of a run.
+    """All processes of a run.
 
     Attributes:
         healthy: Endpoints for the unloaded phases.
-        steady: The endpoints that live through all the other phases.
+        steady: Endpoints that run during all the other phases.
         gateways: The gateways.
         idle_naives: The baselines for the unloaded phase.
-        acts: What each load needs.
+        load_processes: The processes of each load.
     """
 
     healthy: tuple[str, ...]
--- a/cranberrycleat/bench/run.py
+++ b/cranberrycleat/bench/run.py
@@ -1,8 +1,8 @@
-"""One policy under one workload, in virtual time, for `bench placement`.
+"""Discrete-event simulation of one policy and one workload for `bench placement`.
 
-The planner is called directly: there is no network, no lease and no table. A
-task starts when it is placed and ends after its true run time; a report of what
-it really uses comes after the lag that workers have.
+The planner is called directly, without network, leases or a table. A task starts when
+it is placed and ends after its true run time. Its actual resource usage is reported
+after the lag that real workers have.
 """
 
 import heapq
@@ -29,10 +29,10 @@
 
 @attrs.define(kw_only=True, eq=False)
 class BenchTask:
-    """One task on its way through the bench.
+    """One simulated task.
 
-    Its wait is all the time it did not run for its own good: waiting for a
-    place, once or again, time lost by a stop, and slowness when throttled.
+    Its waiting time is all the time in which it made no useful progress: time before
+    each placement, run time lost by a stop, and slowdown when throttled.
     """
 
     job: BenchJob
@@ -48,7 +48,7 @@
 
 @attrs.define(kw_only=True)
 class RunFigures:
-    """What one policy did with one workload."""
+    """Results of one policy for one workload."""
 
     policy: str
     wait_p50_s: float = 0.0
@@ -75,7 +75,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class BenchRun:
-    """One run."""
+    """One simulation run."""
 
     policy: str
     cell: BenchCell
@@ -102,7 +102,7 @@
         self.figures = RunFigures(policy=self.policy)
 
     def run(self) -> RunFigures:
-        """Run to the end and return the figures."""
+        """Run the simulation to its end and return the results."""
         self._schedule_initial_events()
         next_round = 0.0
         end = self.cell.arrivals_s + MAX_DRAIN_S
@@ -207,7 +207,7 @@
             self._dirty = True
 
     def _cancel(self) -> None:
-        """A third of all waiting jobs is cancelled, in one pass."""
+        """Cancel the configured share of all waiting jobs at once."""
         names = sorted(self.waiting)
         for name in names[: int(len(names) * self.disturbances.cancel_share)]:
             del self.waiting[name]
@@ -321,7 +321,7 @@
                 self.planner.inventory.workers[task.worker].tasks[task.name]
             )
             self.planner.inventory.set_needs(task.worker, task.name, needs)
-            # It loses as much time as it has left: it runs at half the pace.
+            # It runs at half speed, so it loses as much time as it has left.
             task.waited_s += max(0.0, task.left_s - ran)
             task.left_s = 2 * max(0.0, task.left_s - ran)
             task.started, task.serial = self.now, next(self._event_numbers)
@@ -337,7 +337,7 @@
         self._requeue(task)
 
     def _drop_infeasible(self) -> None:
-        """Work that can never run is found once, said, and waits no more."""
+        """Drop jobs that can never run and count their tasks."""
         if not self.disturbances.never_share:
             return
         for name in list(self.waiting):
@@ -345,7 +345,7 @@
                 self.figures.never += len(self.waiting.pop(name))
 
     def _sample(self) -> None:
-        """Note what is used while work waits, and how many workers are touched."""
+        """Sample utilization and the number of workers in use while work waits."""
         workers = self.planner.inventory.workers.values()
         over = [w for w in workers if not w.used.fits_in(w.capacity)]
         given = [w for w in over if not self.disturbances.wrong_sizes]
@@ -403,7 +403,7 @@
 
 
 def percentile(values: list[float], share: float, digits: int = 3) -> float:
-    """Return a percentile of sorted values, or 0 where there are none."""
+    """Return a percentile of sorted values, or 0 if there are none."""
     if not values:
         return 0.0
     index = min(len(values) - 1, int(len(values) * share))
@@ -411,7 +411,7 @@
 
 
 def make_inventory(cell: BenchCell, pooled: bool) -> WorkerInventory:
-    """Return a case's workers, or one pooled worker as large as all of them."""
+    """Return the workers of a case, or one pooled worker of the same total size."""
     inventory = WorkerInventory()
     with_gpu = cell.accelerators // 8
     whole = NOTHING
--- a/cranberrycleat/bench/workload.py
+++ b/cranberrycleat/bench/workload.py
@@ -1,8 +1,8 @@
-"""Seeded workloads for `bench placement`: who comes when, and what is true.
+"""Seeded random workloads for `bench placement`.
 
-A workload is drawn once and given to every policy alike: what runs at the
-start, what arrives when, how long each task really runs and what it really
-uses, whatever was declared.
+A workload is generated once and used for all policies. It specifies which jobs run at
+the start, when others arrive, and each task's actual run time and resource usage, which
+may differ from the declared ones.
 """
 
 import random
@@ -22,21 +22,22 @@
 
 @attrs.frozen(kw_only=True)
 class BenchCell:
-    """The machines of one case.
+    """The cluster and load of one case.
 
     Attributes:
         name: The case's name.
-        workers: How many workers.
-        rack_size: Workers in a rack.
-        processors: Processors a worker has.
-        memory_mb: Memory a worker has.
-        accelerators: Accelerators in the whole case, 8 a worker that has any.
-        teams: How many teams.
-        load: The share of the processors that work is offered for.
-        services: How many service tasks run from the start.
-        arrivals_s: Over how many seconds work arrives.
-        wave: The share of the processors that arrives at once, as a nightly run.
-        peak_starts_s: The most task starts a second that arrivals ask for.
+        workers: Number of workers.
+        rack_size: Workers per rack.
+        processors: Processors per worker.
+        memory_mb: Memory per worker.
+        accelerators: Accelerators in total; workers with accelerators have 8 each.
+        teams: Number of teams.
+        load: Offered load as a share of all processors.
+        services: Number of service tasks that run from the start.
+        arrivals_s: Period in seconds during which jobs arrive.
+        wave: Load that arrives at one instant, like a nightly run, as a share of all
+            processors.
+        peak_starts_s: Maximum task starts per second required by the arrivals.
     """
 
     name: str
@@ -55,14 +56,14 @@
 
 @attrs.frozen(kw_only=True)
 class Disturbances:
-    """What goes wrong in a case.
+    """Faults injected in a case.
 
     Attributes:
-        wrong_sizes: Declared sizes and run times are off by up to ten times.
+        wrong_sizes: Whether declared sizes and run times are off by up to ten times.
         never_share: The share of jobs that can never run.
-        cancel_share: The share of waiting jobs cancelled at half time.
-        failing_workers: How many workers fail everything they start.
-        rack_lost: Whether a rack is lost at half time.
+        cancel_share: The share of waiting jobs cancelled halfway through the arrivals.
+        failing_workers: Number of workers that fail all tasks they start.
+        rack_lost: Whether a rack is lost halfway through the arrivals.
     """
 
     wrong_sizes: bool = False
@@ -74,21 +75,21 @@
 
 @attrs.frozen(kw_only=True)
 class BenchJob:
-    """One job and the truth about it.
+    """One job with its declared and actual properties.
 
     Attributes:
         name: Its name.
         kind: Its kind.
-        team: Who it is counted against.
+        team: The team that it is accounted to.
         rank: Its priority.
-        needs: What is declared.
-        uses: What a task really uses.
-        count: How many tasks.
-        declared_s: The run time declared; 0 for services.
-        run_s: The time that each task really runs.
-        selector: Which workers may run it.
-        gives_way: How its tasks make room.
-        at: When it arrives, in seconds.
+        needs: Declared resources per task.
+        uses: Actual resource usage per task.
+        count: Number of tasks.
+        declared_s: Declared run time; 0 for services.
+        run_s: Actual run time of each task.
+        selector: Selector of the workers that may run it.
+        gives_way: How its tasks may be preempted.
+        at: Arrival time in seconds.
     """
 
     name: str
@@ -107,14 +108,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class WorkloadMaker:
-    """Draws a workload for a case.
+    """Generates a workload for a case.
 
     Attributes:
-        cell: The case's machines.
-        bad: What goes wrong.
-        rng: Where chance comes from.
-        jobs: The jobs drawn so far.
-        asked: The processors that they ask for together.
+        cell: The case's cluster and load.
+        disturbances: Faults to inject.
+        rng: Random number generator.
+        jobs: The jobs generated so far.
+        asked: Processors that these jobs request in total.
     """
 
     cell: BenchCell
@@ -124,7 +125,7 @@
     asked: float = 0.0
 
     def make(self) -> list[BenchJob]:
-        """Return the jobs, in order of arrival; those at time 0 run already."""
+        """Return the jobs in order of arrival; those at time 0 run from the start."""
         total = self.cell.workers * self.cell.processors
         self._services()
         running = self.cell.load * total - self.asked
@@ -144,7 +145,7 @@
             left -= count
 
     def _batch(self, processors: float, when: Callable[[], float]) -> None:
-        """Add batch and gangs that ask for so many processors in all."""
+        """Add batch jobs and gangs that request this many processors in total."""
         until = self.asked + processors
         while self.asked < until:
             gang = self.rng.random() < 0.1
--- a/cranberrycleat/cli_bench.py
+++ b/cranberrycleat/cli_bench.py
@@ -18,10 +18,10 @@
 
 @click.group()
 def bench() -> None:
-    """Measure placement, routing and control, beside baselines.
+    """Run benchmarks of placement, routing and control against baselines.
 
-    Every figure stands beside its baseline in the same run; --json prints one
-    object, whose `summary` holds the figures that the project is judged by.
+    Each result is compared with its baseline in the same run. --json prints one
+    object, whose `summary` contains the key metrics.
     """
 
 
@@ -46,7 +46,7 @@
 @click.option("--quick", is_flag=True, help="Short phases; ends within 50 s.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def bench_routing(seed: int, quick: bool, as_json: bool) -> None:
-    """Gateways under 0.5 to 4 times capacity, beside a naive pass-through."""
+    """Measure gateways at 0.5 to 4 times capacity against a naive proxy."""
     from cranberrycleat.bench.routing import RoutingBench
 
     logs.set_up(level="error", form="text")
@@ -67,7 +67,7 @@
 @click.option("--quick", is_flag=True, help="Fewer baselines; ends within 50 s.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def bench_placement(seed: int, quick: bool, as_json: bool) -> None:
-    """Waiting, packing and the cost of deciding, beside baselines and a bound."""
+    """Measure waiting, packing and decision cost against baselines and a bound."""
     from cranberrycleat.bench.placement import run_placement_bench
 
     logs.set_up(level="info", form="text")
@@ -81,10 +81,10 @@
 
 
 @bench.command("control")
-@click.option("--quick", is_flag=True, help="Shorter watches; ends within 50 s.")
+@click.option("--quick", is_flag=True, help="Shorter measurements; ends within 50 s.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def bench_control(quick: bool, as_json: bool) -> None:
-    """Memory, processor time, bytes and table calls of upkeep, as slopes."""
+    """Measure memory, CPU time, traffic and table calls of the control plane."""
     from cranberrycleat.bench.control import ControlBench
 
     logs.set_up(level="error", form="text")
@@ -101,11 +101,11 @@
 
 @click.command()
 @click.option("--small", is_flag=True, help="Fewer workers, gateways and calls.")
-@click.option("--log-level", default="error", help="The least severe level to log.")
+@click.option("--log-level", default="error", help="Minimum level of messages to log.")
 def demo(small: bool, log_level: str) -> None:
-    """Run the whole path on embedded stand-ins, with faults, and audit it.
+    """Run an embedded cluster with simulated workers and faults, and audit it.
 
-    Exits with 1 where something was lost or ran twice.
+    Exits with 1 if anything was lost or ran twice.
     """
     from cranberrycleat.demo import SMALL_DEMO, DemoSize, print_summaries, run_demo
 
--- a/cranberrycleat/platform/__init__.py
+++ b/cranberrycleat/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the Haulbay platform: names, formats and calls.
+"""Adapter to the Haulbay platform: names, formats and calls.
 
-Nothing here decides anything. Each module turns one of the platform's
-interfaces into the types of `cranberrycleat.workflow.ports`; the platform's
-field names stand here and nowhere else.
+This package contains no scheduling logic. Each module translates one of the
+platform's interfaces to the types of `cranberrycleat.workflow.ports`. The platform's
+field names are used only here.
 """
--- a/cranberrycleat/platform/adapter.py
+++ b/cranberrycleat/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Puts the platform's parts together for a node."""
+"""Assembles the platform clients of a node."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +20,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PlatformAdapter:
-    """The Haulbay platform, as a node sees it."""
+    """Clients and settings with which a node uses the Haulbay platform."""
 
     settings: NodeSettings
     store: PlatformStore
@@ -29,7 +29,7 @@
     machines: PlatformMachines | None
 
     def reload_settings(self) -> tuple[str, ...]:
-        """Read the settings file again; return what changed."""
+        """Reload the settings file; return the names of the changed settings."""
         fresh = read_settings()
         changed = tuple(
             field.name
@@ -45,7 +45,7 @@
         return changed
 
     def wave_status(self, number: int, state: str) -> Put:
-        """Return the write that tells the operator of a wave's state."""
+        """Return the write that reports a wave's state to the operator."""
         return wave_status(number, state)
 
     def directory(self) -> WorkerDirectory:
@@ -55,7 +55,7 @@
         )
 
     def config_follower(self) -> ConfigFollower:
-        """Return a follower of the configuration."""
+        """Return a follower of the operator's configuration and waves."""
         return ConfigFollower(
             store=self.store,
             table=records.CONFIG_TABLE,
@@ -65,19 +65,19 @@
         )
 
     def front(self, job_frontend: JobFrontend, is_ready: Callable[[], bool]) -> Any:
-        """Return the ASGI app that callers reach."""
+        """Return the ASGI app that serves callers."""
         return Front(job_frontend=job_frontend, is_ready=is_ready)
 
     def readiness(self, is_ready: Callable[[], bool]) -> Any:
-        """Return the ASGI app that the balancer asks."""
+        """Return the ASGI app for the load balancer's readiness checks."""
         return Readiness(is_ready=is_ready)
 
 
 def make_adapter(http: HttpClient) -> PlatformAdapter:
-    """Return the adapter for the settings file that the environment names.
+    """Return the adapter for the settings file named in the environment.
 
     Raises:
-        FindingsError: There is no such file, or it cannot be read.
+        FindingsError: The settings file is missing or malformed.
     """
     cfg = read_settings()
     return PlatformAdapter(
--- a/cranberrycleat/platform/early.py
+++ b/cranberrycleat/platform/early.py
@@ -1,7 +1,7 @@
-"""Finds where callers connect, before the product's libraries are loaded.
+"""Reads the address for callers before the third-party libraries are imported.
 
-A second, smaller reader of the file that `settings` reads whole: that one needs
-attrs and msgspec, a tenth of a second of a start.
+This is a second, minimal reader of the file that `settings` reads in full. That module
+imports attrs and msgspec, which takes a tenth of a second at startup.
 """
 
 import os
@@ -11,11 +11,11 @@
 
 
 def callers_address() -> tuple[str, int] | None:
-    """Return the host and port at which callers connect.
+    """Return the host and port to which callers connect.
 
     Returns:
-        None where the settings do not tell; `settings.read_settings` then
-        reports what is wrong with them.
+        None if the settings do not contain it; `settings.read_settings` then reports
+        the error.
     """
     try:
         with open(os.environ.get(FILE_VARIABLE, ""), "rb") as file:
--- a/cranberrycleat/platform/front.py
+++ b/cranberrycleat/platform/front.py
@@ -1,8 +1,8 @@
-"""What callers send, and the answers in the platform's form (an ASGI app).
+"""ASGI app for callers, with requests and answers in the platform's format.
 
-A plain ASGI mount and not litestar's routing: the path's prefix is only known
-from the configuration, and a mount costs half as much (trial: 0.13 ms a request
-against 0.27 ms).
+It is a plain ASGI mount instead of a Litestar route: the path prefix is known only from
+the configuration, and a mount costs half as much (0.13 ms per request instead of
+0.27 ms).
 """
 
 import math
@@ -43,14 +43,14 @@
 READY: Final = 200
 NOT_READY: Final = 503
 DEFAULT_DEADLINE_S: Final = 3.0
-"""For a caller that does not say how long it waits; the sites' own limit."""
+"""Deadline for callers that send none; the same limit as on the sites."""
 MAX_BODY_BYTES: Final = 262_144
-"""Bytes; the platform's configuration gives this limit for bodies."""
+"""The platform's configuration sets this limit for request bodies."""
 
 
 @attrs.frozen(kw_only=True)
 class ReasonAnswer:
-    """The body of a refusal."""
+    """The body of an error response."""
 
     reason: str
 
@@ -60,8 +60,8 @@
     """The ASGI app on a host's front address.
 
     Attributes:
-        door: Decides.
-        is_ready: Tells whether the balancer should send callers here.
+        job_frontend: Handles the requests.
+        is_ready: Returns whether the load balancer should route callers here.
     """
 
     job_frontend: JobFrontend
@@ -89,7 +89,7 @@
         is_queue = isinstance(queue, Queue) and path == queue.prefix
         message = _message(answer, is_queue=is_queue)
         if not self.is_ready():
-            # The caller's next try then comes to a host that can serve it.
+            # Closing the connection sends the caller's next attempt to a ready host.
             close = (b"connection", b"close")
             message = attrs.evolve(message, headers=(*message.headers, close))
         await send_answer(send, message)
@@ -147,7 +147,7 @@
 
 @attrs.frozen(kw_only=True)
 class _Call:
-    """One request of a caller whose key is good."""
+    """A request of an authorized caller."""
 
     queue: Queue
     job_id: str
@@ -157,14 +157,14 @@
 
 
 def _key_digest(headers: dict[bytes, bytes]) -> str:
-    """Return the digest of the key that a request carries; empty: none."""
+    """Return the digest of a request's API key; empty if it has none."""
     scheme, _, key = headers.get(KEY_HEADER, b"").decode("latin-1").partition(" ")
     key = key.strip()
     return key_digest(key) if key and scheme.lower() == KEY_SCHEME else ""
 
 
 def _limit_s(headers: dict[bytes, bytes]) -> float:
-    """Return how long the caller waits, in seconds."""
+    """Return the caller's deadline in seconds."""
     text = headers.get(DEADLINE_HEADER, b"")
     return int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
 
@@ -187,7 +187,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Readiness:
-    """The ASGI app that the balancer asks every second."""
+    """The ASGI app for readiness checks; the load balancer calls it every second."""
 
     is_ready: Callable[[], bool]
 
--- a/cranberrycleat/platform/jobs.py
+++ b/cranberrycleat/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Callers' job bodies and answers, in the platform's form."""
+"""Job requests and responses in the platform's format."""
 
 from typing import Final
 
@@ -44,23 +44,23 @@
 
 @attrs.frozen(kw_only=True)
 class StateAnswer:
-    """The answer to a question for a job's state."""
+    """The response to a job state request."""
 
     state: str
 
 
 @attrs.frozen(kw_only=True)
 class QueueAnswer:
-    """The answer to a question for a queue."""
+    """The response to a queue request."""
 
     waiting: int
 
 
 def read_job(body: bytes) -> WorkflowSpec:
-    """Return the job that a caller sent.
+    """Return the job in a request body.
 
     Raises:
-        FindingsError: The body is not of the platform's form.
+        FindingsError: The body does not have the platform's format.
     """
     wire = codec.decode(body, _WireJob, place="body")
     schedule = None
--- a/cranberrycleat/platform/machines.py
+++ b/cranberrycleat/platform/machines.py
@@ -1,4 +1,4 @@
-"""The platform's interface to machines, and its rows about waves."""
+"""Client of the platform's machine API, and its rows for upkeep waves."""
 
 from typing import Any, Final
 
@@ -66,11 +66,11 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PlatformMachines:
-    """Machines over HTTP.
+    """Machine API over HTTP.
 
     Attributes:
-        address: IP and port; empty where the platform has no such interface.
-        http: The process's client.
+        address: IP and port; empty if the platform has no machine API.
+        http: The process's HTTP client.
     """
 
     address: str
@@ -96,7 +96,7 @@
     async def start_upkeep(
         self, *, machine: str, wave: int, holder: str, epoch: int
     ) -> MachineVerdict:
-        """Have a machine's upkeep begin."""
+        """Begin a machine's upkeep."""
         body = {"machine": machine, "wave": wave}
         return await self._order("/api/machine-upkeep", body, holder, epoch)
 
@@ -158,10 +158,10 @@
 
 
 def read_wave(row: Row) -> Wave | None:
-    """Return the wave that a row of the operator's asks for, if it is one.
+    """Return the wave in an operator's row; None if the row is not a wave.
 
     Raises:
-        FindingsError: The row is not of the platform's form.
+        FindingsError: The row does not have the platform's format.
     """
     if not row.key.startswith(WAVE_PREFIX):
         return None
@@ -175,6 +175,6 @@
 
 
 def wave_status(number: int, state: str) -> Put:
-    """Return the write that tells the operator of a wave's state."""
+    """Return the write that reports a wave's state to the operator."""
     status = _WireStatus(wave=number, state=state)
     return Put(key=f"status/wave/{number}", value=codec.encode_text(status))
--- a/cranberrycleat/platform/records.py
+++ b/cranberrycleat/platform/records.py
@@ -1,7 +1,7 @@
-"""Reads what the operator and the workers write into the platform's store.
+"""Reads the rows that the operator and the workers write to the platform's store.
 
-A row that cannot be read gives a finding with its place; whoever asked keeps
-what it had.
+A malformed row raises an error with its place, and the reader keeps the previous
+version.
 """
 
 import ipaddress
@@ -26,7 +26,7 @@
 CONFIG_KEY = "op/config"
 WORKERS_TABLE = "servers"
 LEAVING_BY_STATE: Final = {"ready": False, "draining": True}
-"""The states that a worker writes, and whether it is leaving in each."""
+"""Whether a worker is leaving, for each state that it may write."""
 MAX_PORT: Final = 65535
 
 
@@ -59,14 +59,14 @@
 
 @attrs.frozen(kw_only=True)
 class WireAmounts:
-    """Amounts as the platform spells them; `cpu` in thousandths of a core."""
+    """Resource amounts in the platform's format; `cpu` in thousandths of a core."""
 
     cpu: float = 0.0
     mem_mb: float = 0.0
     gpu: float = 0.0
 
     def amounts(self) -> Amounts:
-        """Return the product's amounts."""
+        """Return the amounts in this project's type."""
         return Amounts(
             processors=round(self.cpu),
             memory_mb=round(self.mem_mb),
@@ -104,10 +104,10 @@
 
 
 def read_config(row: Row) -> ClusterConfig:
-    """Return the configuration that the operator wrote.
+    """Return the operator's configuration.
 
     Raises:
-        FindingsError: The row is not of the platform's form.
+        FindingsError: The row does not have the platform's format.
     """
     wire = codec.decode(row.value, _WireConfig, place=row.key)
     return ClusterConfig(
@@ -159,14 +159,14 @@
 
 
 def read_worker(row: Row) -> WorkerEntry:
-    """Return the entry that a worker wrote.
+    """Return a worker's entry.
 
-    An entry may come from another writer, or from a later version of the
-    platform. What cannot be relied on names no worker to use: every fault is
-    found, each with its place in the row.
+    An entry may come from another writer or from a later version of the platform. An
+    entry with any invalid field is rejected as a whole, and every error is reported
+    with its place in the row.
 
     Raises:
-        FindingsError: The row is not of the platform's form.
+        FindingsError: The row does not have the platform's format.
     """
     wire = codec.decode(row.value, _WireWorker, place=row.key)
     found = errors.Findings()
--- a/cranberrycleat/platform/settings.py
+++ b/cranberrycleat/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file of a process."""
+"""Reads the settings file that the platform provides to a process."""
 
 import os
 import tomllib
@@ -13,7 +13,7 @@
 from cranberrycleat.workflow.ports import HostResources, LeaseBounds, NodeSettings
 
 MAX_CLOCK_RATE_ERROR: Final = 0.02
-"""A worker's clock may be this share slow (the platform's page on leases)."""
+"""A worker's clock may run slow by this fraction (platform documentation of leases)."""
 
 
 @attrs.frozen(kw_only=True)
@@ -41,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class _WireLimits:
-    """`cpu_share` is a share of one core that is `cores` times as fast."""
+    """Limits of the host; `cpu_share` is of one core that is `cores` times as fast."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
@@ -63,13 +63,13 @@
 
 
 def read_settings(path: str | None = None) -> NodeSettings:
-    """Return what the platform's file says.
+    """Return the settings in the platform's file.
 
     Args:
-        path: The file; by default the one that the environment names.
+        path: The file; by default the one named in the environment.
 
     Raises:
-        FindingsError: There is no such file, or it is not of that form.
+        FindingsError: The file is missing or malformed.
     """
     name = path or os.environ.get(FILE_VARIABLE, "")
     if not name:
--- a/cranberrycleat/platform/store.py
+++ b/cranberrycleat/platform/store.py
@@ -1,8 +1,8 @@
 """The platform's store as a `FeedTable`.
 
-A key of the product is `TABLE/KEY`. Rows that are written together share one
-part, so that a transaction over several tables stays within a part and takes
-the shorter time; rows of the operator and of the workers have an empty part.
+Keys in this project have the form `TABLE/KEY`. A part is the store's unit of
+partitioning. Rows that are written together share one part, since a transaction within
+a single part is faster. Rows of the operator and of the workers have an empty part.
 """
 
 import asyncio
@@ -29,31 +29,32 @@
 
 SHARED_PART: Final = "cell"
 DEDICATED_PART_TABLES: Final = frozenset({"inbox"})
-"""Tables that are never written together with others. A part carries out one
-transaction after another: in a slow store, what doors write must not keep the
-owner's writes waiting."""
+"""Tables that are never written together with others. Transactions of one part run
+sequentially, and in a slow store the inbox writes of all hosts must not delay the
+owner's writes."""
 FOREIGN_TABLES: Final = frozenset({"op", "servers", "status"})
-"""Tables whose rows have an empty part."""
+"""Tables shared with the operator and the workers; their rows have an empty part."""
 OK: Final = 200
 CONDITION_FAILED: Final = 412
 GONE: Final = 410
 REJECTED_STATUSES: Final = frozenset({429, 503})
 PAGE_ROWS: Final = 200
-"""Rows read in one call; about 100 KB, 0.2 s on a link of 5 Mbit/s."""
+"""Rows read per call; about 100 KB, which take 0.2 s on a link of 5 Mbit/s."""
 PAGE_START_S: Final = 1.5
-"""What a page may take to begin, beyond a short answer's time: the pages of other
-tables use the link too."""
+"""Extra time, beyond a short answer's, until the first byte of a page: pages of other
+tables use the same link."""
 STALL_TIMEOUT_S: Final = 1.0
-"""How long an answer that has begun may bring nothing. A slowed table gives a whole
-answer in 0.5 s, and a host slowed five times sees what came within that. How long
-the whole takes is the link's affair: 1 MB is 1.75 s at 5 Mbit/s, and a limit of 1.7
-s left a configuration of that size out of force until its history was gone (22 s)."""
+"""Maximum gap between the bytes of an answer that has begun. A slowed table sends a
+whole answer in 0.5 s, and a host slowed five times receives data within this time. The
+total duration is not limited, since it depends on the link: 1 MB takes 1.75 s at
+5 Mbit/s. With a total limit of 1.7 s, a configuration of that size could not be loaded
+until its history was gone (22 s)."""
 PAGE_ATTEMPTS: Final = 4
 PAGE_PAUSE_S: Final = 0.1
-"""A store that turns calls away, or was cut off, is asked again after this."""
+"""Delay before a page is retried after the store rejected a call or was cut off."""
 WRITE_EXTRA_S: Final = 0.4
-"""What a transaction may take beyond a read: it is carried out (4 ms) after those
-before it in its part, and in a store slowed 60 times that is 0.24 s each."""
+"""Extra time for a transaction compared with a read: it runs (4 ms) after those queued
+in its part, each of which takes 0.24 s in a store slowed 60 times."""
 LOG: Final = part_logger("store")
 
 
@@ -110,10 +111,10 @@
 
     Attributes:
         address: IP and port.
-        http: The process's client.
-        carries_bytes_s: Bytes a second that reach the store from here.
-        answer_timeout: How long to wait for an answer.
-        clock: Measures how long answers take.
+        http: The process's HTTP client.
+        carries_bytes_s: Bandwidth to the store in bytes per second.
+        answer_timeout: Adaptive timeout for answers.
+        clock: Clock to measure answer times.
     """
 
     address: str
@@ -123,7 +124,7 @@
     clock: Clock = attrs.field(factory=MonotonicClock)
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Return the rows that exist among the keys, one call for each."""
+        """Return the existing rows among the keys, with one call per key."""
         found = await asyncio.gather(*(self._read_one(key) for key in keys))
         return tuple(row for rows in found for row in rows)
 
@@ -155,17 +156,17 @@
     async def _read_page(
         self, table: str, params: dict[str, str]
     ) -> tuple[_WireRows, HttpReply]:
-        """Read one page of many; one that gets no answer is asked for again.
+        """Read one page of a table, with retries if there is no answer.
 
-        A page that is given up takes all pages before it along, so that a large
-        table could never be read over a slow link.
+        A failed page discards all pages before it. Without retries a large table could
+        never be read over a slow link.
         """
         place = {**params, "limit": str(PAGE_ROWS)}
         for _ in range(PAGE_ATTEMPTS - 1):
             try:
                 return await self._read_range(table, place, PAGE_START_S)
             except errors.TableUnavailable as exc:
-                LOG.info("A page of %s is read again: %s", table, exc)
+                LOG.info("Retrying a page of table %s: %s", table, exc)
                 await asyncio.sleep(PAGE_PAUSE_S)
         return await self._read_range(table, place, PAGE_START_S)
 
@@ -197,7 +198,7 @@
         )
 
     async def commit(self, txn: Transaction) -> CommitReply:
-        """Apply a transaction if all its conditions hold."""
+        """Commit a transaction if all its conditions hold."""
         wire = _WireTransaction(
             expect_rev=tuple(
                 _WireCheck(**_wire_key(each.key), schema_ver=each.version)
@@ -328,10 +329,10 @@
 
 
 def _decode_value(value: str) -> str:
-    """Return a row's text; nothing where it is none.
+    """Return a row's text; empty if it cannot be decoded.
 
-    Whoever reads the row then finds that it is not of its form, and says so
-    with its place; one bad row must not hide all others.
+    The reader of the row then rejects it as malformed and reports its place; one bad
+    row must not hide all others.
     """
     try:
         return base64.b64decode(value).decode()
--- a/cranberrycleat/platform/workers.py
+++ b/cranberrycleat/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's workers, and the permit service's calls."""
+"""HTTP clients for the platform's workers and its permit service."""
 
 from typing import Any, Final, TypeVar
 
@@ -32,8 +32,8 @@
 UNHEALTHY: Final = frozenset({429, 503})
 NOTHING_SEEN: Final = 0
 TIMEOUT_S: Final = 0.5
-"""An answer takes a few milliseconds, on a host that works five times slower
-some tens; an order that was left unanswered is sent again after this long."""
+"""Timeout of an order, after which an unanswered order is sent again. An answer takes
+a few milliseconds, or some tens on a host that is five times slower."""
 REASONS: Final = {
     "fence": Verdict.STALE_EPOCH,
     "old": Verdict.STALE_ATTEMPT,
@@ -111,12 +111,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class _Channel:
-    """One connection at a time to one incarnation of a worker.
+    """The single connection for syncs with one incarnation of a worker.
 
     Attributes:
-        http: Holds the connection.
-        answered_on: The number of the connection on which this incarnation has
-            answered; None before.
+        http: Client limited to one connection.
+        answered_on: The number of the connection on which this incarnation has last
+            answered; None before its first answer.
     """
 
     http: HttpClient = attrs.field(factory=lambda: HttpClient(max_connections=1))
@@ -125,7 +125,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PlatformWorkers:
-    """Workers over HTTP."""
+    """Worker API over HTTP."""
 
     http: HttpClient
     timeout_s: float = TIMEOUT_S
@@ -134,7 +134,7 @@
     async def start(
         self, entry: WorkerEntry, order: StartOrder, *, limit_s: float
     ) -> OrderReply:
-        """Order a start."""
+        """Order a worker to start a task."""
         wire = _WireStart(
             task=order.task,
             run=order.attempt,
@@ -152,14 +152,14 @@
     async def stop(
         self, entry: WorkerEntry, task: str, attempt: int, fence: int
     ) -> OrderReply:
-        """Order a stop."""
+        """Order a worker to stop a task."""
         wire = _WireOrder(task=task, run=attempt, fencing_token=fence)
         return await self._order(entry, "/api/run-stop", wire)
 
     async def throttle(
         self, entry: WorkerEntry, task: str, attempt: int, percent: int, fence: int
     ) -> OrderReply:
-        """Have a task work at a share of its speed."""
+        """Order a worker to run a task at a percentage of full speed."""
         wire = _WirePace(task=task, run=attempt, fencing_token=fence, percent=percent)
         return await self._order(entry, "/api/pace", wire)
 
@@ -172,7 +172,7 @@
         lease_end_ms: int | None,
         wait_ms: int,
     ) -> SyncReply | OrderReply:
-        """Renew the lease of all that runs there and return both lists."""
+        """Renew the leases of all tasks on a worker; return running and ended tasks."""
         limit_s = self.timeout_s + wait_ms / 1000
         channel = self._channels.setdefault(entry.incarnation, _Channel())
         if channel.answered_on is None:
@@ -214,7 +214,7 @@
         )
 
     async def release(self, entry: WorkerEntry) -> None:
-        """Close the connection for lists."""
+        """Close the connection for syncs with an incarnation of a worker."""
         channel = self._channels.pop(entry.incarnation, None)
         if channel is not None:
             await channel.http.close()
@@ -288,7 +288,7 @@
 
 
 def _sync_reply(lists: _WireLists) -> SyncReply:
-    """Return both lists; raises where a row is not what the page says."""
+    """Return both lists of tasks; raises if a row does not follow the protocol."""
     return SyncReply(
         worker_time_ms=round(lists.clock_ms),
         running=tuple(_running(each) for each in lists.running),
@@ -313,7 +313,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PlatformPermits:
-    """The permit service over HTTP."""
+    """Permit service over HTTP."""
 
     address: str
     http: HttpClient
@@ -323,8 +323,8 @@
     ) -> tuple[Permit, ...]:
         """Return permits for those of the workers that may run the step.
 
-        The service knows a worker by its identity; its tickets are of the incarnation
-        that stands there, which is the newest.
+        The service identifies workers without their incarnation. Its tickets are valid
+        for the current incarnation, which is the newest.
         """
         asked = {identity_of(worker): worker for worker in workers}
         wire = _WireAsk(step=step, workers=tuple(asked))
--- a/cranberrycleat/workflow/batches.py
+++ b/cranberrycleat/workflow/batches.py
@@ -1,8 +1,8 @@
-"""What an owner stores next, and what it may do once the table has it.
+"""Batches an owner's writes to the table and releases effects once they are stored.
 
-The two ends of 'intent before effect': `take_batch` turns what is dirty on the
-board into one transaction, `note_stored` releases what waited for it: starts,
-acknowledgements of ends, and the states that callers are told.
+This is the owner's write-ahead rule: `take_batch` collects the dirty jobs of the
+cluster state into one transaction, and `note_stored` releases what had to wait for it:
+starts, acknowledgements of task ends, and the job states shown to callers.
 """
 
 import heapq
@@ -21,21 +21,22 @@
 from cranberrycleat.workflow.state import FINAL_STATES, Job, JobState, OrphanedAttempt
 
 MAX_ENTRIES: Final = 96
-"""A transaction holds 100 entries, one of them the owner's row. A job needs one
-to three: 30 jobs a transaction, whatever they need, were too few in a slow store,
-which takes 0.45 s for each, at 50 jobs a second with three writes each."""
+"""A transaction holds 100 entries, one of which is the owner's row. A job needs one to
+three. A fixed limit of 30 jobs per transaction was too low for a slow table, which
+takes 0.45 s per transaction, at 50 jobs per second with three writes each."""
 
 
 @attrs.frozen(kw_only=True)
 class Batch:
-    """What one transaction stores.
+    """The content of one transaction.
 
     Attributes:
-        jobs: The jobs whose rows it writes, and the state it stores of each.
-        puts: The writes.
-        deletes: Rows that go away.
-        placements: Placements that are stored by it.
-        heard: The ends that may be acknowledged after it, by worker.
+        jobs: The jobs whose rows it writes, each with the state stored.
+        puts: The rows to write.
+        deletes: The keys of the rows to delete.
+        placements: Placements that it stores.
+        acknowledgeable: By worker, the number up to which task ends may be acknowledged
+            once it is stored.
     """
 
     jobs: tuple[tuple[Job, JobState], ...]
@@ -46,11 +47,11 @@
 
 
 def take_batch(cluster_state: ClusterState, most_bytes: int = MAX_BATCH_BYTES) -> Batch:
-    """Return what to store next; the rest stays dirty.
+    """Return the next transaction's content; the remaining jobs stay dirty.
 
     Args:
-        board: The owner's memory.
-        most_bytes: How many bytes of values, unless one job alone has more.
+        cluster_state: The owner's in-memory state.
+        most_bytes: Maximum bytes of values; a single job may exceed it.
     """
     chosen: list[Job] = []
     puts: list[Put] = []
@@ -88,7 +89,7 @@
 def _orphaned_attempts(
     cluster_state: ClusterState, job: Job
 ) -> Iterator[OrphanedAttempt]:
-    """Yield what still counts of a job though the row names no task placed so."""
+    """Yield attempts that still count but that the job's row shows as not placed."""
     for worker, placement in cluster_state.placements_of(job.job_id):
         if job.verdict is None and placement.is_current:
             continue
@@ -101,11 +102,11 @@
 
 
 def _acknowledgeable_ends(cluster_state: ClusterState) -> Iterator[tuple[str, int]]:
-    """Return up to which end each worker may forget once the batch is stored.
+    """Yield the number up to which each worker may forget ends after this batch.
 
-    An end may be acknowledged when its job is not dirty any more. Waiting until
-    nothing at all is dirty would, in a backlog, acknowledge nothing for long. The
-    end of a job whose row nobody here can read is kept by its worker.
+    An end may be acknowledged when its job is no longer dirty. Waiting until no job
+    is dirty would delay acknowledgements for a long time in a backlog. The end of a job
+    whose row this process cannot read is kept by its worker.
     """
     for worker in cluster_state.fleet.workers.values():
         upto = worker.ended_upto
@@ -127,7 +128,7 @@
 
 
 def note_stored(cluster_state: ClusterState, batch: Batch) -> None:
-    """Note that the table has a batch."""
+    """Record that a batch was stored, and release what waited for it."""
     for job, state in batch.jobs:
         _log_stored(cluster_state, job, state)
         job.spec_stored = True
@@ -156,7 +157,7 @@
 def purge_ended_jobs(
     cluster_state: ClusterState, before_s: float, max_jobs: int
 ) -> tuple[str, ...]:
-    """Forget jobs that ended before a time; return their rows' keys."""
+    """Drop jobs that ended before a Unix time; return the keys of their rows."""
     old: list[str] = []
     while (
         cluster_state.ended
--- a/cranberrycleat/workflow/evacuation.py
+++ b/cranberrycleat/workflow/evacuation.py
@@ -1,9 +1,9 @@
-"""What is stopped on a worker that leaves, so that it goes on elsewhere.
+"""Selects the placements to evacuate from a worker that is leaving.
 
-Answers workers that are emptied and taken away: all that runs there ends when
-they go. Services move at once. Work that saves its progress moves if it would
-not end in time; what saves nothing stays, since it may end before the worker
-goes and would lose as much by a stop.
+Everything that still runs on a leaving worker is killed when it is removed. Service
+members are moved at once. Work that checkpoints is moved if it would not finish in
+time. Work without checkpoints stays: it may finish before the worker is removed, and
+stopping it would lose as much as the removal.
 """
 
 from typing import Final
@@ -11,14 +11,14 @@
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 
 MIN_LEAVE_NOTICE_S: Final = 2.0
-"""Counted as left where a leaving worker does not say: the shortest time that
-the platform promises between the notice and the end."""
+"""Assumed remaining time if a leaving worker does not report it: the shortest time
+between notice and removal that the platform guarantees."""
 RUNTIME_ESTIMATE_MARGIN: Final = 1.2
-"""Run times are known from progress, which is rough."""
+"""Safety factor, since remaining run times are extrapolated from coarse progress."""
 
 
 def placements_to_stop(worker: FleetWorker, now: float) -> list[Placement]:
-    """Return the attempts that are to leave a leaving worker now."""
+    """Return the attempts to stop now on a leaving worker."""
     if not worker.entry.leaving:
         return []
     left_s = worker.entry.leaves_in_s
@@ -45,7 +45,7 @@
 
 
 def remaining_runtime_s(placement: Placement, now: float) -> float:
-    """Return how long an attempt still runs, by its progress or its estimate."""
+    """Return an attempt's remaining run time, by its progress or else its estimate."""
     task = placement.tracked_task
     assert task is not None
     ran_s = placement.ran_s(now)
--- a/cranberrycleat/workflow/feasibility.py
+++ b/cranberrycleat/workflow/feasibility.py
@@ -1,9 +1,10 @@
-"""Tells work that can never run from work that has to wait.
+"""Distinguishes jobs that can never run from jobs that only have to wait.
 
-Answers jobs that ask for more than any worker has, for a label that none has, for a
-gang wider than the whole pool, or for more than their workspace's quota: waiting for
-them is in vain, and their callers are told so at once. Only what the platform lists
-counts, whatever it is doing now; a pool of which nothing is known rules nothing out.
+A job is infeasible if it requires more than any worker has, a label that no worker
+has, a gang larger than the whole pool, or more than the quota of its workspace. Such
+a job is rejected at submission instead of waiting for ever. The check uses all workers
+that the platform lists, regardless of their current state; a pool without any known
+worker makes no job infeasible.
 """
 
 from typing import Final
@@ -15,14 +16,15 @@
 from cranberrycleat.workflow.spec import StepSpec, WorkflowSpec
 
 RETRY_AFTER_S: Final = 10.0
-"""When to come back: the platform adds workers over seconds, not at once."""
+"""Retry-after for infeasible jobs: the platform adds workers over seconds, not at
+once."""
 SETTLING_RETRY_AFTER_S: Final = 1.0
-"""The same while the list of workers may not be whole: after a takeover, and after an
-outage of the table, in which entries lapse."""
+"""Retry-after while the list of workers may be incomplete: after a takeover, and after
+an outage of the table, during which worker entries lapse."""
 
 
 def infeasibility_reason(spec: WorkflowSpec, workers: list[FleetWorker]) -> str:
-    """Return why a job can never run on these workers, or nothing."""
+    """Return why a job can never run on these workers; empty if it can."""
     if not workers:
         return ""
     for number, step in enumerate(spec.steps):
@@ -33,7 +35,7 @@
 
 
 def quota_violation_reason(spec: WorkflowSpec, quota: Amounts | None) -> str:
-    """Return why a job can never run within its workspace's quota, or nothing."""
+    """Return why a job can never run within its workspace's quota; empty if it can."""
     if quota is None:
         return ""
     for number, step in enumerate(spec.steps):
--- a/cranberrycleat/workflow/filler_throttling.py
+++ b/cranberrycleat/workflow/filler_throttling.py
@@ -1,10 +1,11 @@
-"""Keeps tasks that serve users within their tail latency.
-
-Answers fillers that disturb the serving tasks beside them, by amounts that
-differ by image and change within seconds. A worker whose serving tasks come
-near their limit has its fillers slowed at once, and stopped where the limit is
-passed; they come back in steps once there is room again. What a filler does is
-undone within one sync, so that no limit is passed for as long as users notice.
+"""Throttles fillers to keep serving tasks within their tail-latency limit.
+
+Fillers are best-effort tasks that use processors left idle by others. They interfere
+with the serving tasks on the same worker, by amounts that differ by image and change
+within seconds. When a serving task comes near its limit, the fillers on its worker are
+slowed down at once; when the limit is exceeded, they are paused. They recover in steps
+once latency is low again. Interference is countered within one sync, so that no limit
+is exceeded for long enough that users notice.
 """
 
 from typing import Final
@@ -14,45 +15,46 @@
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 
 SLOWDOWN_THRESHOLD: Final = 0.85
-"""Share of the limit from which fillers are slowed: readings are rough, and an
-order shows after 0.1 s and one reading of 0.5 s."""
+"""Fraction of the limit from which fillers are slowed down. It is below 1 because
+readings are coarse, and an order takes effect only after 0.1 s plus one reading
+interval of 0.5 s."""
 RECOVERY_THRESHOLD: Final = 0.6
-"""Share of the limit below which fillers may come back."""
+"""Fraction of the limit below which fillers may recover."""
 RECOVERY_STEP_PERCENT: Final = 20
-"""Percent by which they come back."""
+"""Percentage points by which fillers recover in one step."""
 RECOVERY_INTERVAL_S: Final = 1.5
-"""Time between two steps: three readings of half a second."""
+"""Time between two recovery steps: three readings of half a second."""
 FULL_SPEED_PERCENT: Final = 100
 
 
 @attrs.frozen(kw_only=True)
 class ThrottleOrder:
-    """A placement and the share at which it is to work."""
+    """A placement and the percentage of full speed at which it is to run."""
 
     placement: Placement
     percent: int
 
 
 def serves(placement: Placement) -> bool:
-    """Tell whether an attempt serves users within a limit."""
+    """Return whether an attempt has a tail-latency limit."""
     task = placement.tracked_task
     return task is not None and task.step.spec.tail_limit_ms > 0
 
 
 def runs_until_cancelled(placement: Placement) -> bool:
-    """Tell whether an attempt runs until its job is cancelled."""
+    """Return whether an attempt belongs to a service."""
     task = placement.tracked_task
     return task is not None and task.step.spec.service
 
 
 def fills(placement: Placement) -> bool:
-    """Tell whether an attempt is a filler."""
+    """Return whether an attempt is a filler."""
     task = placement.tracked_task
     return task is not None and task.step.spec.filler
 
 
 def pressure(worker: FleetWorker) -> float:
-    """Return the worst reading of a serving task as a share of its limit."""
+    """Return the highest latency of a serving task as a fraction of its limit."""
     shares = [0.0]
     for placement in worker.placements.values():
         task = placement.tracked_task
@@ -63,7 +65,7 @@
 
 
 def throttle_orders(worker: FleetWorker, now: float) -> list[ThrottleOrder]:
-    """Return the orders that a worker's newest readings ask for."""
+    """Update a worker's filler speed by its newest readings; return the orders due."""
     fillers = [each for each in worker.placements.values() if fills(each)]
     if not fillers or not any(map(serves, worker.placements.values())):
         worker.filler_percent = FULL_SPEED_PERCENT
--- a/cranberrycleat/workflow/locality.py
+++ b/cranberrycleat/workflow/locality.py
@@ -1,8 +1,8 @@
-"""How long a step waits for the rack where it runs fastest.
+"""Delay scheduling: how long a step waits for the rack where it runs fastest.
 
-Answers deployments on which tasks away from their data, or gangs over several
-racks, take a multiple of their time: going elsewhere at once keeps a worker busy
-for as many times as long, where the right rack is often free a moment later.
+On some deployments, tasks away from their data and gangs spread over several racks
+take a multiple of their usual run time. Placing them elsewhere at once occupies a
+worker for that multiple, while the preferred rack is often free a moment later.
 """
 
 from typing import Final
@@ -11,10 +11,12 @@
 from cranberrycleat.workflow.spec import StepSpec
 
 MAX_WAIT_FRACTION: Final = 0.5
-"""Of what going elsewhere would cost: who waits for half of it and must go all the
-same has lost half as much again, who waits in vain for all of it twice as much."""
+"""Maximum wait as a fraction of the extra run time elsewhere. A step that waits for
+half of it and still goes elsewhere loses 1.5 times the penalty in total; a step that
+waits for all of it in vain loses twice the penalty."""
 MAX_RACK_WAIT_S: Final = 3.0
-"""Estimates are off by large factors; a rack that is not free by then is full."""
+"""Upper limit of the wait, since run-time estimates are off by large factors. A rack
+that has not become free by then is full."""
 
 
 def rack_wait_s(spec: StepSpec, spread_factor: float) -> float:
@@ -22,7 +24,7 @@
 
     Args:
         spec: The step.
-        spread_factor: How many times as long its tasks take elsewhere.
+        spread_factor: Run-time multiplier of its tasks on other racks.
     """
     if not spec.same_rack and not spec.data_rack:
         return 0.0
@@ -31,7 +33,10 @@
 
 
 def workers_by_rack(workers: list[FleetWorker]) -> dict[str, list[FleetWorker]]:
-    """Return the workers of each rack; the first label is a worker's kind."""
+    """Return the workers of each rack.
+
+    `WorkerEntry.racks` leaves out a worker's first label, which is its kind.
+    """
     by_rack: dict[str, list[FleetWorker]] = {}
     for worker in workers:
         for label in worker.entry.racks:
@@ -40,5 +45,5 @@
 
 
 def could_hold_gang(spec: StepSpec, workers: list[FleetWorker]) -> bool:
-    """Tell whether these workers, if they were empty, could hold a whole gang."""
+    """Return whether these workers, if they were empty, could hold a whole gang."""
     return sum(max_tasks_on(spec, each.max_capacity) for each in workers) >= spec.count
--- a/cranberrycleat/workflow/ordering.py
+++ b/cranberrycleat/workflow/ordering.py
@@ -1,11 +1,10 @@
-"""Who goes first among the steps that wait for room.
-
-Answers two patterns. At base load nearly everything fits, and the order only
-has to keep short urgent work from waiting behind wide work: priority first,
-then what has least time left. In a burst not everything can be served in time:
-what can no longer meet its objective goes behind what still can, and what can
-no longer earn anything goes last, so that late work does not make other work
-late as well.
+"""Ranks the steps that wait for resources.
+
+At base load nearly everything fits, and the order only has to keep short urgent
+work from waiting behind wide work: priority first, then least slack. In a burst
+not everything can meet its objective. Steps that have missed it rank behind those
+that can still meet it, and steps whose result is worth nothing any more rank
+last, so that late work does not make other work late as well.
 """
 
 from typing import Final
@@ -15,26 +14,25 @@
 from cranberrycleat.workflow.state import Job, StepRun, StepUrgency
 
 LATE_FACTOR: Final = 3.0
-"""Up to this many times its objective a job is late but still worth something
-(the platform's page on benefit)."""
+"""A job that takes up to this many times its objective is late but still has value
+(the platform's documentation of job benefit)."""
 
 
 SERVICE_BAND: Final = -1
-"""A service earns only while its members are at work."""
+"""Services rank first: a service has value only while its members are running."""
 EXPIRED_BAND: Final = 2
-"""The band of what can earn nothing any more."""
+"""Band of steps whose completion has no value any more."""
 
 
 @attrs.frozen(kw_only=True)
 class Rank:
-    """A step's place in the order; smaller goes first.
+    """A step's scheduling rank; lower ranks go first.
 
     Attributes:
-        band: Services go first; 0 may meet its objective, 1 is late, 2 is worth
-            nothing any more.
-        priority: Its queue's priority.
-        slack_s: Time left before it must start.
-        name: The step's name, so that the order is the same each time.
+        band: `SERVICE_BAND`, 0 (may meet its objective), 1 (late) or `EXPIRED_BAND`.
+        priority: The priority of its queue.
+        slack_s: Time left until it must start to meet its objective.
+        name: The step's name, which makes the order deterministic.
     """
 
     band: int
@@ -43,7 +41,7 @@
     name: str
 
     def key(self) -> "Urgency":
-        """Return what to sort by."""
+        """Return the sort key."""
         return (self.band, self.priority, self.slack_s, self.name)
 
 
@@ -51,7 +49,7 @@
 
 
 def critical_path_s(job: Job, first: int = 0) -> float:
-    """Return the run time of a job's longest chain of steps, as estimated."""
+    """Return the estimated run time of a job's longest chain of dependent steps."""
     lengths: list[float] = []
     for step in job.spec.steps:
         predecessors_s = max((lengths[number] for number in step.after), default=0.0)
@@ -60,7 +58,7 @@
 
 
 def remaining_critical_path_s(step: StepRun) -> float:
-    """Return the longest chain that begins with a step."""
+    """Return the estimated run time of the longest chain that starts with a step."""
     steps = step.job.spec.steps
     path_s = [0.0] * len(steps)
     for number in range(len(steps) - 1, -1, -1):
@@ -71,12 +69,12 @@
 
 
 def objective_s(job: Job) -> float:
-    """Return how long a job may take from its hand-in, in seconds."""
+    """Return how long a job may take from its submission, in seconds."""
     return job.queue.stretch * critical_path_s(job) + job.queue.objective_s
 
 
 def due_s(step: StepRun) -> float:
-    """Return when a step's occurrence was due, in seconds since 1970."""
+    """Return when a step's occurrence was due, as Unix time in seconds."""
     job = step.job
     if job.spec.schedule is None:
         return job.accepted_s
@@ -84,7 +82,7 @@
 
 
 def rank(step: StepRun, now_s: float) -> Rank:
-    """Return a step's place in the order at a time since 1970."""
+    """Return a step's rank at a Unix time in seconds."""
     job = step.job
     if step.urgency is None:
         objective = objective_s(job)
--- a/cranberrycleat/workflow/permit_choice.py
+++ b/cranberrycleat/workflow/permit_choice.py
@@ -1,20 +1,22 @@
-"""Which workers the permit service is asked about for a step.
+"""Selects the workers for which a step requests permits.
 
-Answers fleets of hundreds of workers, where a step of three tasks needs a handful of
-them. Asking about all 270 for each of 80 steps a second made 210 calls with 13,500
-names, and a short step waited for the longest of its three calls (medians until it
-began 0.066 to 0.042 s, in one process). On a quiet day of the users' fleet the bytes
-between data centres went from 0.061 to 0.036 GB, with the nearest hosts asked first.
+In a fleet of hundreds of workers, a step of three tasks needs only a handful of them.
+Requesting permits for all 270 workers for each of 80 steps per second took 210 calls
+with 13,500 worker names, and a short step waited for the longest of its three calls.
+Selecting workers cut the median time to start from 0.066 to 0.042 s (in one process).
+At low load it cut the traffic between data centres from 0.061 to 0.036 GB, with the
+nearest hosts called first.
 
-A step asks about as many workers as give it three seats for each task, going by the
-share that the service allowed of late; it asks again when those that it may use are
-full and others have room.
+A step queries as many workers as are expected to provide three task places for each of
+its tasks, based on the share that the service allowed recently. It queries more when
+the allowed workers are full and others have free resources.
 
-Of workers with room the fullest are asked about first: the order in which the planner
-fills them, so that short tasks fill gaps and leave wide ones whole workers.
+Among workers with free resources the fullest are queried first, in the order in which
+the planner fills them. Short tasks then fill gaps and leave whole workers for wide
+steps.
 
-`planner` asks; `permit_queue` carries the calls out and tells `AllowedShare` how many
-were allowed.
+`planner` creates the queries; `permit_queue` makes the calls, and `StepPermits` records
+in `AllowedShare` how many workers were allowed.
 """
 
 import zlib
@@ -28,33 +30,34 @@
 from cranberrycleat.workflow.spec import StepSpec
 
 FitCount = Callable[[FleetWorker], int]
-"""How many tasks of a step a worker would be given."""
+"""Returns how many tasks of a step fit on a worker."""
 REQUEST_FACTOR: Final = 3.0
-"""Seats asked about for each seat that is needed: while a call is answered, others
-take room, and the share that is allowed varies from step to step."""
+"""Task places to query for each place that is needed: other steps take resources
+while a call is in progress, and the allowed share varies from step to step."""
 WIDE_GANG_TASKS: Final = 8
-"""A gang of more tasks asks about all workers at once: it begins only where all its
-seats are free together, and each further call takes as long as the first decision,
+"""A gang of more tasks queries all workers at once. It starts only when all its places
+are free at the same time, and each further call takes as long as a first decision,
 0.6 s and more on some queues."""
 INITIAL_SHARE: Final = 0.5
-"""The share that is taken to be allowed before the service was ever asked."""
+"""Allowed share assumed before the first answer of the service."""
 INITIAL_SAMPLES: Final = 20.0
-"""So many workers does that guess count as."""
+"""Weight of the initial share, in workers."""
 MAX_SAMPLES: Final = 2000.0
-"""So many workers back the learned share reaches: half of them are forgotten then."""
+"""Number of workers over which the share is averaged; beyond it, all weights are
+halved."""
 MIN_SHARE: Final = 0.02
-"""A service that allows nearly nobody is asked about fifty for one."""
+"""Lower bound of the share: at most 50 workers are queried for each one needed."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class AllowedShare:
-    """The share of workers that the service allows the steps of one queue."""
+    """Running estimate of the share of workers allowed to the steps of one queue."""
 
     _asked: float = INITIAL_SAMPLES
     _allowed: float = INITIAL_SAMPLES * INITIAL_SHARE
 
     def record(self, *, asked: int, allowed: int) -> None:
-        """Learn from one answer."""
+        """Update the estimate with one answer."""
         self._asked += asked
         self._allowed += allowed
         if self._asked > MAX_SAMPLES:
@@ -62,15 +65,15 @@
             self._allowed /= 2
 
     def value(self) -> float:
-        """Return the share, from `LEAST_SHARE` to 1."""
+        """Return the share, from `MIN_SHARE` to 1."""
         return max(MIN_SHARE, self._allowed / self._asked)
 
 
 def queries_all_workers(spec: StepSpec) -> bool:
-    """Tell whether a step chooses among places, so that it has to know them all.
+    """Return whether a step needs the permits of all workers to choose a placement.
 
-    Racks are chosen by what the whole of each may hold, a service makes room for
-    itself where it may run, and a wide gang needs most of what is there.
+    Racks are chosen by the total capacity of their allowed workers, a service may
+    preempt other work wherever it is allowed, and a wide gang needs most of the pool.
     """
     wide = spec.gang and spec.count > WIDE_GANG_TASKS
     return wide or spec.service or spec.same_rack or bool(spec.data_rack)
@@ -86,18 +89,18 @@
     fits_when_empty: FitCount,
     share: float,
 ) -> list[FleetWorker]:
-    """Return the workers to ask about next; none where it would not help.
+    """Return the workers to query next; none if a query would not help.
 
     Args:
-        step_name: Where nobody has room, steps begin at different workers of the
-            list, by their names.
-        pending: How many of its tasks wait for a place.
-        allowed: Workers that it may run on, by the service's word.
-        unknown: Suitable workers that were not asked about, the best first.
-        seats_now: Tells how many of the tasks a worker would be given now. What the
-            planner would pass over must not count, or a step waits for a worker
-            that it is not given and asks about no other.
-        seats_ever: Tells how many it would be given if nothing else ran there.
+        step_name: The step's name. On a full pool it determines where in the list the
+            selection starts, so that steps query different workers.
+        pending: How many of its tasks wait for placement.
+        allowed: Workers that the permit service has allowed.
+        unknown: Eligible workers that were not queried yet, the best first.
+        fits_now: Returns how many of the tasks a worker would be assigned now. It must
+            not count workers that the planner would skip; otherwise the step waits for
+            a worker that it is never assigned and queries no other.
+        fits_when_empty: Returns how many an otherwise empty worker would be assigned.
         share: The share of workers that is likely to be allowed.
     """
     total_now = total_when_empty = 0
@@ -123,8 +126,9 @@
             capacity_is_scarce
             and len(chosen) + len(additional) < MAX_WORKERS_PER_PERMIT_CALL
         ):
-            # Room is scarce: whoever has it next is likely to be among so many. One
-            # call for few, again and again, made 560 calls a second of a backlog.
+            # With scarce resources, fill one call: the worker that has free resources
+            # next is likely to be among this many. Repeated calls for a few workers
+            # each made 560 calls per second for a backlog.
             additional = [each for each in remaining if fits_when_empty(each)]
             additional = additional[: MAX_WORKERS_PER_PERMIT_CALL - len(chosen)]
         chosen += additional
@@ -132,7 +136,7 @@
 
 
 def _rotated(step_name: str, workers: Sequence[FleetWorker]) -> Iterator[FleetWorker]:
-    """Return all of the workers, beginning at a place that the step's name gives."""
+    """Yield all workers, starting at an offset derived from the step's name."""
     start = zlib.crc32(step_name.encode()) % max(1, len(workers))
     yield from workers[start:]
     yield from workers[:start]
@@ -141,7 +145,7 @@
 def _take_until(
     wanted_fits: float, workers: Iterable[FleetWorker], fits_on: FitCount
 ) -> Iterator[FleetWorker]:
-    """Return the first workers with seats until there are enough seats."""
+    """Yield the first workers on which tasks fit until they hold the wanted number."""
     for worker in workers:
         if wanted_fits <= 0:
             return
--- a/cranberrycleat/workflow/permit_queue.py
+++ b/cranberrycleat/workflow/permit_queue.py
@@ -1,9 +1,9 @@
-"""Asks for placement permits: the most urgent first, spread over the hosts.
+"""Queues permit calls by urgency and distributes them over the hosts.
 
-The permit service answers one call at a time for each calling host; at base
-load one host alone would keep it busy for 0.9 s of each second, and it refuses
-when too many wait. So calls wait here, in the order of their urgency, and each
-host has at most two of them under way: one at work, one on its way.
+The permit service processes one call at a time per calling host. At base load a
+single host would keep it busy for 0.9 s of each second, and the service rejects calls
+when too many wait. Calls are therefore queued here in order of urgency, and each host
+has at most two in flight: one being processed and one on its way.
 """
 
 import asyncio
@@ -31,20 +31,20 @@
 MAX_CALLS_PER_HOST: Final = 2
 MAX_ATTEMPTS: Final = 3
 ANSWER_SLACK_S: Final = 0.5
-"""What an answer may take beyond the service's own times."""
+"""Added to the expected processing time when setting a call's timeout."""
 HOST_BACKOFF_S: Final = 2.0
-"""A host that gave no answer is passed over this long."""
+"""How long a host is skipped after a call through it failed."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class PermitQueue:
-    """Asks the permit service, from this host or through another.
+    """Calls the permit service directly or through other hosts.
 
     Attributes:
-        own: The service, as called from this host.
+        own: Client for direct calls from this host.
         own_address: This host's address among the peers.
-        peer_client: Calls to other hosts.
-        peers: Tells the addresses of the other hosts, the best to ask first.
+        peer_client: Client for calls through other hosts.
+        peers: Returns the addresses of the other hosts, preferred ones first.
         clock: The owner's clock.
     """
 
@@ -68,10 +68,10 @@
         permits: StepPermits,
         urgency: Urgency,
     ) -> bool:
-        """Ask about some workers and take in the answer.
+        """Request permits for some workers and record the answers.
 
         Returns:
-            Whether an answer came.
+            Whether all calls were answered.
         """
         permits.calls_in_flight += 1
         permits.asked.update(workers)
@@ -126,10 +126,10 @@
         permits.failed(workers)
         return False
 
-    # --- lanes ------------------------------------------------------------------
+    # --- per-host call limit -----------------------------------------------------
 
     async def _acquire_host(self, urgency: Urgency) -> str:
-        """Wait, in the order of urgency, for a host with a free lane."""
+        """Wait, in order of urgency, for a host below its call limit and reserve it."""
         host = self._least_loaded_host()
         if host is not None and not self._waiters:
             self._calls_in_flight[host] = self._calls_in_flight.get(host, 0) + 1
@@ -149,7 +149,7 @@
         self._grant_waiters()
 
     def _grant_waiters(self) -> None:
-        """Give free lanes to those that wait, the most urgent first."""
+        """Assign available hosts to waiting calls, the most urgent first."""
         while self._waiters:
             host = self._least_loaded_host()
             if host is None:
@@ -168,7 +168,8 @@
             for host in good or [self.own_address]
             if self._calls_in_flight.get(host, 0) < MAX_CALLS_PER_HOST
         ]
-        # Among like hosts the first is taken: calls between data centres are dear.
+        # Ties go to the first host: it is the nearest, and calls between data centres
+        # are expensive.
         return min(
             free,
             key=lambda host: round(self._work_in_flight_s.get(host, 0.0), 4),
@@ -185,6 +186,6 @@
 
 
 def _split_workers(workers: tuple[str, ...]) -> list[tuple[str, ...]]:
-    """Return parts of like length, since the longest call is waited for."""
+    """Split workers into chunks of similar size, since a step waits for the largest."""
     count = math.ceil(len(workers) / MAX_WORKERS_PER_PERMIT_CALL)
     return [workers[number::count] for number in range(count)]
--- a/cranberrycleat/workflow/permits.py
+++ b/cranberrycleat/workflow/permits.py
@@ -1,9 +1,9 @@
 """Placement permits: which workers may run a step, and until when.
 
-The permit service answers slowly, one call at a time for each calling host.
-Its answer for a step does not change, only the permit ages; so each worker is
-asked about once (`permit_choice` says which, and when), and a permit that has run
-out is renewed only for the workers that were chosen.
+The permit service is slow and processes one call at a time per calling host. Its
+decision for a step and a worker does not change; only the permit expires. Each worker
+is therefore queried once (`permit_choice` decides which and when), and an expired
+permit is renewed only for the workers on which tasks were placed.
 """
 
 from collections.abc import Iterable
@@ -15,21 +15,22 @@
 from cranberrycleat.workflow.ports import Permit, PermitTiming
 
 VALIDITY_MARGIN_S: Final = 0.15
-"""A permit must be valid for this much longer when a start is ordered: the
-start is stored first (about 10 ms) and may be sent once more."""
+"""Minimum remaining validity when a start is ordered, since the start is stored
+first (about 10 ms) and may be sent once more."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class StepPermits:
-    """What is known of one step.
+    """Permit state of one step.
 
     Attributes:
-        policy: The service's times for this queue.
-        tickets: The newest ticket by worker; a worker in it may run the step.
-        had_at: When each ticket was given, at the earliest.
-        asked: Workers that were asked about.
-        calls: Calls under way.
-        share: What its queue's steps were allowed of late.
+        policy: The permit service's timing for this queue.
+        tickets: The newest ticket (the token of a permit) by worker; only these workers
+            may run the step.
+        issued_at: Earliest time at which each ticket may have been issued.
+        asked: Workers that were queried.
+        calls_in_flight: Number of calls in flight.
+        share: Estimated share of workers allowed to the steps of its queue.
     """
 
     policy: PermitTiming
@@ -40,23 +41,23 @@
     share: AllowedShare = attrs.field(factory=AllowedShare)
 
     def valid_ticket(self, worker: str, now: float) -> str:
-        """Return a ticket that can be used now, or nothing."""
+        """Return a ticket that can be used now; empty if there is none."""
         issued_at = self.issued_at.get(worker, float("-inf"))
         if now - issued_at > self.policy.valid_s - VALIDITY_MARGIN_S:
             return ""
         return self.tickets[worker]
 
     def refused(self, worker: str) -> None:
-        """A worker refused its ticket: it needs another before the next start."""
+        """Invalidate a ticket that its worker refused, so that it is renewed."""
         self.issued_at.pop(worker, None)
 
     def workers_to_renew(self, workers: Iterable[str], now: float) -> tuple[str, ...]:
         """Return the workers whose permits must be renewed to start on all of them.
 
-        Where one has run out, so must those be renewed that run out before the call is
-        answered: a call that takes 1.1 s for permits that hold 1.35 s was otherwise
-        followed by another one for the rest, and a gang whose permits came in three
-        calls never had all of them at once.
+        If any permit has expired, those that expire before the call is answered are
+        renewed as well. Otherwise a call of 1.1 s for permits usable for 1.35 s was
+        followed by another call for the rest, and a gang whose permits came in three
+        calls never had all of them valid at the same time.
         """
         names = sorted(workers)
         if all(self.valid_ticket(name, now) for name in names):
@@ -67,12 +68,12 @@
     def record_answer(
         self, asked: tuple[str, ...], permits: tuple[Permit, ...], sent_at: float
     ) -> None:
-        """Take in an answer.
+        """Record an answer of the permit service.
 
         Args:
             asked: The workers that the call named.
-            permits: The answer.
-            sent_at: When the ticket can have been given at the earliest.
+            permits: The permits in the answer.
+            sent_at: Earliest time at which the tickets may have been issued.
         """
         fresh = sum(worker not in self.tickets for worker in asked)
         known = len(self.tickets)
@@ -84,9 +85,9 @@
             self.share.record(asked=fresh, allowed=len(self.tickets) - known)
 
     def failed(self, asked: tuple[str, ...]) -> None:
-        """Note that a call had no answer, so that it is asked again."""
+        """Record that a call was not answered; its workers will be queried again."""
         self.asked.difference_update(set(asked) - set(self.tickets))
 
     def expected_answer_s(self, workers: int) -> float:
-        """Return how long the service works on a call."""
+        """Return the service's processing time of a call for some number of workers."""
         return self.policy.decide_s + self.policy.each_s * workers
--- a/cranberrycleat/workflow/planner.py
+++ b/cranberrycleat/workflow/planner.py
@@ -1,10 +1,10 @@
-"""Chooses workers for the steps that wait, most urgent first.
+"""Assigns workers to waiting steps, most urgent first.
 
-Answers the load of the standard days: short urgent tasks beside wide gangs at
-about 80% of the cores. Single tasks go to the fullest worker that still has
-room, so that room for gangs stays together. A gang that finds no room keeps
-what is free on the workers it may use from steps that come after it, so that
-it does not wait for ever behind small work that fits every gap.
+The target workload is short urgent tasks next to wide gangs at about 80% core
+utilization. Single tasks are placed best-fit, on the fullest worker that still fits
+them, which leaves whole workers for gangs. A gang that cannot be placed reserves free
+resources on its eligible workers against lower-ranked steps; otherwise small tasks that
+fit every gap would starve it.
 """
 
 import collections
@@ -45,25 +45,26 @@
 from cranberrycleat.workflow.state import StepRun, Task, TaskState
 
 MAX_RESERVED_GANGS: Final = 3
-"""Gangs for which room is kept at a time; more would idle the pool."""
+"""Gangs with a reservation at a time; more would leave too much of the pool idle."""
 NO_ELIGIBLE_WORKER: Final = (
     "every known worker is ruled out by a label, a permit or its state"
 )
 WAIT_LOG_INTERVAL_S: Final = 10.0
 AT_QUOTA: Final = "its workspace is at its quota, or a newer one may be in force"
 MAX_STEPS_SCANNED: Final = 400
-"""Steps looked at in a round."""
+"""Steps considered in one scheduling round."""
 MAX_STEPS_PER_WORKSPACE: Final = 100
-"""Steps of one workspace among them, where more wait than are looked at."""
+"""Steps considered per workspace if more steps wait than one round considers."""
 MAX_PERMIT_PREFETCH_STEPS: Final = 60
-"""Steps without room for which permits are asked for all the same, so that they
-start when room comes: what 300 starts a second begin while a call is answered.
-For all of a backlog the permit service would only be kept busy."""
+"""Steps that request permits although no worker has free resources for them, so
+that they can start as soon as resources are released. 60 covers the steps started
+during one permit call at 300 starts per second. Requesting permits for the whole
+backlog would only load the permit service."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class PlannedGroup:
-    """Placements of one step that are ordered together."""
+    """Placements of one step whose starts are ordered together."""
 
     step: StepRun
     placements: list[tuple[FleetWorker, Placement]] = attrs.field(factory=list)
@@ -71,7 +72,7 @@
 
 @attrs.frozen(kw_only=True)
 class PermitQuery:
-    """Workers that the permit service is to be asked about."""
+    """Workers for which a step needs permits from the permit service."""
 
     step: StepRun
     workers: tuple[str, ...]
@@ -79,7 +80,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Plan:
-    """What a round decided."""
+    """Decisions of one scheduling round.
+
+    Attributes:
+        groups: New placements.
+        permit_queries: Permit calls to make.
+        retry_at: When to run another round at the latest, on the owner's clock.
+    """
 
     groups: list[PlannedGroup] = attrs.field(factory=list)
     permit_queries: list[PermitQuery] = attrs.field(factory=list)
@@ -88,12 +95,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Planner:
-    """Plans rounds over a board.
+    """Runs scheduling rounds over a cluster state.
 
     Attributes:
-        board: What is known.
-        spread_factor: How many times as long tasks take away from their data,
-            and gangs on several racks.
+        cluster_state: The owner's in-memory state.
+        spread_factor: Run-time multiplier for tasks placed away from their data and
+            for gangs spread over several racks.
     """
 
     cluster_state: ClusterState
@@ -102,11 +109,11 @@
     _snapshots: dict[str, PoolSnapshot] = attrs.field(factory=dict)
 
     def plan(self, *, now: float, now_s: float) -> Plan:
-        """Place what fits.
+        """Run one round and place all waiting tasks that fit.
 
         Args:
             now: The owner's clock.
-            now_s: Seconds since 1970, the clock that objectives are counted on.
+            now_s: Unix time in seconds, the clock on which objectives are measured.
         """
         plan = Plan()
         self._reserved = {}
@@ -141,7 +148,7 @@
     def _preempt_for_service(
         self, step: StepRun, candidates: list[FleetWorker], now: float
     ) -> None:
-        """Have lesser work stop where members of a service wait for room."""
+        """Preempt other work if service members have waited too long for resources."""
         if not step.pending():
             step.waits_since = None
             return
@@ -165,12 +172,12 @@
             return "no room"
         permits = self.cluster_state.permits.get(step.name)
         asking = permits is not None and (permits.calls_in_flight or not permits.asked)
-        return "permits are being asked for" if asking else NO_ELIGIBLE_WORKER
+        return "permits are being requested" if asking else NO_ELIGIBLE_WORKER
 
     def _log_waiting(
         self, step: StepRun, reason: str, candidates: int, now: float, now_s: float
     ) -> None:
-        """Log why a step is left waiting: each reason, and again while it lasts."""
+        """Log why a step was not placed, on each new reason and then periodically."""
         if (
             reason == step.wait_reason
             and now < step.wait_logged_at + WAIT_LOG_INTERVAL_S
@@ -207,9 +214,10 @@
         return _limit_scan(steps)
 
     def _count_within_quota(self, step: StepRun) -> bool:
-        """Tell whether a step's workspace may have more of it running.
+        """Return whether the workspace quota allows another task or gang of the step.
 
-        The backlog of one that may not must not fill the round before the others'.
+        Steps over quota are left out of the round, so that their backlog cannot crowd
+        out the steps of other workspaces.
         """
         return self.cluster_state.quotas.may_begin(
             step.job.workspace,
@@ -239,7 +247,7 @@
         return self._snapshots[pool]
 
     def _eligible_workers(self, step: StepRun, now: float) -> Sequence[FleetWorker]:
-        """Return the workers that may draw and that the step could run on."""
+        """Return the schedulable workers that meet the step's requirements."""
         snapshot = self._snapshot(step, now)
         if not step.spec.label and reserved_resources(step.spec).fits_in(
             snapshot.min_capacity
@@ -252,7 +260,7 @@
     def _query_permits(
         self, step: StepRun, candidates: list[FleetWorker], now: float, plan: Plan
     ) -> None:
-        """Ask for the permits that a step needs and has not asked for yet."""
+        """Add a query for the permits that a step needs and has not requested yet."""
         permits = self.cluster_state.permits_of(step)
         if permits is None or permits.calls_in_flight:
             return
@@ -278,7 +286,7 @@
             plan.permit_queries.append(PermitQuery(step=step, workers=names))
 
     def _fits_now(self, step: StepRun, worker: FleetWorker) -> int:
-        """Return how many more of a step's tasks a worker would be given now."""
+        """Return how many more tasks of a step a worker would be assigned now."""
         fits = how_many_fit(reserved_resources(step.spec), self._unreserved(worker))
         if worker.has_isolated_attempt():
             return 0
@@ -287,12 +295,12 @@
         return min(fits, self._remaining_worker_limit(step, worker))
 
     def _fits_when_empty(self, step: StepRun, worker: FleetWorker) -> int:
-        """Return how many more it would be given if nothing else ran there."""
+        """Return how many more tasks an otherwise empty worker would be assigned."""
         fits = how_many_fit(reserved_resources(step.spec), worker.entry.capacity)
         return min(fits, self._remaining_worker_limit(step, worker))
 
     def _remaining_worker_limit(self, step: StepRun, worker: FleetWorker) -> int:
-        """Return how many more tasks the step's limit for a worker leaves."""
+        """Return how many more tasks the step's per-worker limit allows."""
         limit = step.spec.most_per_worker
         return (
             max(0, limit - self._tasks_on_worker(step, worker))
@@ -311,7 +319,7 @@
         return [each for each in allowed if each and could_run_on(step.spec, each)]
 
     def _unreserved(self, worker: FleetWorker) -> Amounts:
-        """Return what is free there and not kept for a gang."""
+        """Return the free resources of a worker that no gang has reserved."""
         reserved = self._reserved.get(worker.name)
         return worker.free if reserved is None else worker.free.minus(reserved)
 
@@ -326,7 +334,7 @@
         now: float,
         plan: Plan,
     ) -> bool:
-        """Place as many tasks as find room; return whether any did."""
+        """Place as many tasks as fit; return whether any was placed."""
         needs = reserved_resources(step.spec)
         group = PlannedGroup(step=step)
         limit = step.spec.most_per_worker
@@ -362,12 +370,12 @@
     def _exclude_failed_workers(
         self, step: StepRun, tasks: list[Task], candidates: list[FleetWorker]
     ) -> list[FleetWorker]:
-        """Leave out workers that failed these tasks and did nothing well since.
+        """Exclude workers that failed these tasks and have not succeeded since.
 
-        A worker that fails what it starts has room at once, and would draw a
-        task again until its attempts are used up; so has the next life of one that
-        was lost. Where the others could not hold the tasks even if they were empty,
-        it is as good as any.
+        A worker that fails every task it starts has free resources again at once and
+        would receive the same task until its attempts are used up. The same holds for
+        the next incarnation of a lost worker. If the other workers could not hold the
+        tasks even when empty, nothing is excluded.
         """
         failed_on = {name for task in tasks for name in task.failed_on}
         lost_worker_addresses = isolation.lost_worker_addresses(step, tasks)
@@ -393,7 +401,10 @@
 
     @staticmethod
     def _interference(step: StepRun, worker: FleetWorker) -> int:
-        """Return how much there disturbs the step, or is disturbed by it."""
+        """Return how many serving tasks on a worker interfere with the step.
+
+        Zero for steps that neither serve users nor are fillers.
+        """
         spec = step.spec
         if spec.tail_limit_ms or spec.service or spec.filler:
             return sum(serves(each) for each in worker.placements.values())
@@ -430,7 +441,7 @@
     def _rack_choices(
         self, step: StepRun, candidates: list[FleetWorker], now: float, plan: Plan
     ) -> list[list[FleetWorker]]:
-        """Return the groups of workers that a gang may be placed on, best first."""
+        """Return the groups of workers eligible for a gang, best first."""
         if not step.spec.same_rack:
             return [candidates]
         fitting = [
@@ -445,7 +456,7 @@
     def _workers_near_data(
         self, step: StepRun, candidates: list[FleetWorker], now: float, plan: Plan
     ) -> list[FleetWorker]:
-        """Return the workers near a step's data, while it pays to wait for them."""
+        """Return the workers near a step's data while it is worth waiting for them."""
         rack = step.spec.data_rack
         if not rack:
             return candidates
@@ -467,7 +478,7 @@
         candidates: list[FleetWorker],
         count: int,
     ) -> list[FleetWorker]:
-        """Return a worker for each member, the fullest first, or too few."""
+        """Return one worker per gang member, fullest first; fewer if not all fit."""
         assigned: list[FleetWorker] = []
         for worker in sorted(candidates, key=lambda each: self._preference(step, each)):
             fits = min(count - len(assigned), self._fits_now(step, worker))
@@ -477,13 +488,14 @@
         return assigned
 
     def _reserve_for_gang(self, step: StepRun, candidates: list[FleetWorker]) -> bool:
-        """Keep room for a gang on the workers that it will fit on soonest.
+        """Reserve resources for a gang on the workers that will fit it soonest.
 
-        One that they could not hold even without all that ends keeps none: what comes
-        after it would wait for nothing.
+        These are the workers with the most free processors. A gang that would not fit
+        even after all work but services has ended gets no reservation, since it would
+        block lower-ranked steps for nothing.
 
         Returns:
-            Whether room is kept.
+            Whether resources were reserved.
         """
         needs = reserved_resources(step.spec)
         members_by_worker: dict[str, int] = {}
@@ -524,10 +536,10 @@
 
 
 def _limit_scan(steps: list[StepRun]) -> list[StepRun]:
-    """Return the steps that a round looks at, in their order.
+    """Return the steps to consider in a round, in rank order.
 
-    Answers a workspace that sends many times its usual: its backlog, which its quota
-    holds back, must not keep the round from everybody else's steps.
+    Guards against a workspace that submits many times its usual load: its backlog,
+    which its quota holds back, must not displace the steps of other workspaces.
     """
     if len(steps) <= MAX_STEPS_SCANNED:
         return steps
@@ -542,7 +554,7 @@
 
 
 def _fits_beside_services(step: StepRun, worker: FleetWorker) -> int:
-    """Return how many of a step's tasks a worker holds beside its services."""
+    """Return how many tasks of a step fit on a worker next to its services."""
     available = worker.entry.capacity
     for each in worker.placements.values():
         if runs_until_cancelled(each):
--- a/cranberrycleat/workflow/pool_snapshot.py
+++ b/cranberrycleat/workflow/pool_snapshot.py
@@ -1,9 +1,10 @@
-"""What a planning round knows of one pool, worked out once for all its steps.
+"""Per-pool state that a scheduling round computes once for all of its steps.
 
-Answers a backlog: hundreds of steps wait while every worker is full. Looking at
-each worker for each step took 55 ms a round with 400 steps and 176 workers, most
-of it to find again that nothing is free. The most that any worker has free, as
-the round began, rules nearly all of them out with one comparison.
+Speeds up rounds with a backlog, in which hundreds of steps wait while every worker
+is full. Checking each worker for each step took 55 ms per round with 400 steps and
+176 workers, most of it to find again that nothing is free. Comparing a step with
+the maximum that any worker had free when the round began rules out nearly all
+steps with one comparison.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -17,14 +18,14 @@
 
 @attrs.frozen(kw_only=True)
 class PoolSnapshot:
-    """One pool at the beginning of a round.
+    """State of one pool at the beginning of a round.
 
     Attributes:
-        drawing: The workers that may draw work.
-        roomiest: The most of each resource that one of them had free; a bound,
-            since what a round places only takes away.
-        smallest: The least of each resource that one of them has.
-        by_name: The drawing workers by identity.
+        drawing: The schedulable workers.
+        max_free: Maximum of each resource that any of them had free. This stays an
+            upper bound during the round, since placements only reduce it.
+        min_capacity: Minimum capacity of any of them, for each resource.
+        by_name: The schedulable workers by incarnation name.
     """
 
     drawing: tuple[FleetWorker, ...] = ()
@@ -33,12 +34,12 @@
     by_name: Mapping[str, FleetWorker] = attrs.field(factory=dict)
 
     def might_fit(self, needs: Amounts) -> bool:
-        """Tell whether one task may find room; False is certain."""
+        """Return whether a task might fit on some worker; False is definite."""
         return needs.fits_in(self.max_free)
 
 
 def take_snapshot(fleet: Fleet, pool: str, now: float) -> PoolSnapshot:
-    """Return a pool's view at a time."""
+    """Return a snapshot of a pool at a time on the owner's clock."""
     drawing = tuple(
         each for each in fleet.workers_in_pool(pool) if each.may_accept_work(now)
     )
@@ -55,14 +56,14 @@
 
 
 def could_run_on(spec: StepSpec, worker: FleetWorker) -> bool:
-    """Tell whether a step could run on a worker if that were empty."""
+    """Return whether a worker has the label and capacity that a step requires."""
     if spec.label and spec.label not in worker.entry.labels:
         return False
     return reserved_resources(spec).fits_in(worker.entry.capacity)
 
 
 def _bound(pick: Callable[[Iterable[int]], int], amounts: list[Amounts]) -> Amounts:
-    """Return the bound of each resource; 0.02 ms of a fast core for 300 workers."""
+    """Return the bound of each resource; takes 0.02 ms for 300 workers (fast core)."""
     return Amounts(
         processors=pick(each.processors for each in amounts),
         memory_mb=pick(each.memory_mb for each in amounts),
--- a/cranberrycleat/workflow/progress.py
+++ b/cranberrycleat/workflow/progress.py
@@ -1,14 +1,13 @@
-"""Tells workers on which nothing moves from workers that work, by progress.
+"""Detects stalled workers by the progress of their tasks.
 
-Answers workers whose tasks stand still for seconds while they answer every call
-and report good health: each task that is given to them waits there, and short
-urgent work is worth nothing by the time it goes on. A worker tells with each
-list how far its tasks have come (for a task that ends, `percent` is the share of
-its work that is done), so that one on which nothing has moved is seen in one to
-three seconds. A task starts elsewhere when that is about to be its last chance to
-be in time: short urgent work at once, long work only if it stands still for long,
-since it would lose what it has done. The worker rests and is tried again with one
-task, as one that fails what it starts.
+Some workers stop making progress for seconds while they answer every call and report
+good health. Tasks assigned to them wait, and short urgent work has lost its value by
+the time the worker resumes. Each status report of a worker contains the progress of
+its tasks (`percent`, the completed share of the work of a task that terminates), so a
+stall is detected within one to three seconds. A task is restarted elsewhere when this
+is about to be its last chance to meet its objective: short urgent work at once, long
+work only after a long stall, since it would lose its progress. The worker is then
+quarantined and probed with a single task, like a worker that fails what it starts.
 """
 
 from typing import Final
@@ -17,18 +16,19 @@
 from cranberrycleat.workflow.ordering import EXPIRED_BAND, SERVICE_BAND, rank
 
 STALL_TIMEOUT_S: Final = 1.2
-"""Without any progress for so long a task stands still. A task that resumes from
-saved progress needs 0.6 s first; one of 16 s on a worker eight times too slow
-comes one percent further in 1.3 s; lists come each 1.5 s at the latest."""
+"""A task without progress for this long is stalled. A task that resumes from a
+checkpoint makes no progress for its first 0.6 s; a task of 16 s on a worker eight
+times too slow advances one percent in 1.3 s; reports arrive at least every 1.5 s."""
 MIN_SLACK_S: Final = 2.0
-"""With less time left before it must start, a task cannot wait for the next list,
-which comes in 1.5 s, and for its start elsewhere. Trial: stopping all that had run
-under 3 s broke gangs that had 8 s to spare (worth of the kind 1.0 to 0.92)."""
+"""With less slack, a task cannot wait for the next report, which may take 1.5 s, and
+for its restart elsewhere. Stopping every task that had run for less than 3 s also
+stopped gangs with 8 s of slack, and the benefit score of that kind of job fell from 1.0
+to 0.92."""
 COMPLETE_PERCENT: Final = 100.0
 
 
 def is_stalled(worker: FleetWorker, now: float) -> bool:
-    """Tell whether nothing moves there, by a list that has just come."""
+    """Return whether a worker is stalled, judged by a report that has just arrived."""
     indicators = [
         each
         for each in worker.placements.values()
@@ -40,11 +40,11 @@
 
 
 def placements_to_stop(worker: FleetWorker, now_s: float) -> list[Placement]:
-    """Return what is to start elsewhere rather than wait until it moves again.
+    """Return the placements to restart elsewhere rather than wait for the worker.
 
     Args:
-        worker: A worker that stands still.
-        now_s: Seconds since 1970, the clock that objectives are counted on.
+        worker: A stalled worker.
+        now_s: Unix time in seconds, the clock on which objectives are measured.
     """
     return [
         each
@@ -54,9 +54,10 @@
 
 
 def _indicates_worker_state(placement: Placement, now: float) -> bool:
-    """Tell whether an attempt's progress says something of its worker.
+    """Return whether an attempt's progress reflects the state of its worker.
 
-    A gang's does not: it waits for members that may stand still elsewhere.
+    The progress of a gang does not, since it waits for members on other workers that
+    may be stalled.
     """
     task = placement.tracked_task
     if task is None or not placement.running or placement.stopping:
--- a/cranberrycleat/workflow/retrying.py
+++ b/cranberrycleat/workflow/retrying.py
@@ -1,29 +1,31 @@
-"""When a task whose attempt failed may be tried again.
+"""Delays before a failed task is retried.
 
-Answers two patterns. Some tasks fail now and then by their own fault, and a few
-always: of the short jobs of a calm day 9% had a failed attempt, and pauses of
-0.3, 0.6 and 1.2 s between attempts made nearly all of those late that were late
-(60 of 819; short jobs have 0.25 s and half of their run time to spare). And some
-workers fail within milliseconds whatever they start; a task that went back to one
-would use up its attempts there. The planner sends a task elsewhere after a
-failure (`Planner._trusted`), so a pause protects only the last attempt, which no
-other follows: by then a failing worker has been told apart and rests. A task that
-failed on two workers is at fault itself, and needs no protection from them.
+There are two failure patterns. Some tasks fail sporadically by their own fault, and a
+few always: 9% of the short jobs at low load had a failed attempt, and delays of 0.3,
+0.6 and 1.2 s between attempts caused nearly all missed objectives (60 of 819 jobs were
+late; short jobs have a slack of 0.25 s plus half of their run time). Other failures are
+caused by workers that fail within milliseconds whatever they start; a task that returns
+to such a worker would use up its attempts there. The planner retries a task on another
+worker (`Planner._exclude_failed_workers`), so a delay protects only the last attempt,
+which is not followed by another: by then a failing worker has been detected and
+quarantined. A task that failed on two workers is itself at fault and needs no such
+protection.
 
-A member of a service is started again as often as it ends, so that nothing but
-a growing pause keeps one that cannot start from taking up its owner.
+A member of a service is restarted however often it ends. Only a growing delay keeps
+a member that cannot start from using up the owner's time.
 """
 
 from typing import Final
 
 LAST_ATTEMPT_DELAY_S: Final = 0.3
-"""Before the last attempt. A worker that fails what it starts has failed three of
-several jobs, and rests, within 0.2 s at 20 starts a second and 24 workers."""
+"""Delay before the last attempt. At 20 starts per second on 24 workers, a worker that
+fails what it starts has failed three tasks of several jobs within 0.2 s and is then
+quarantined."""
 TASK_FAULT_WORKERS: Final = 2
-"""A task that failed on so many workers fails by its own fault: that two of them
-fail whatever they start is a chance of 1 in 130 where a twelfth of them do."""
+"""A task that failed on this many workers is itself at fault. If one worker in twelve
+fails whatever it starts, the probability of meeting two of them is 1 in 130."""
 SERVICE_RESTART_DELAY_S: Final = 0.3
-"""Before the first restart of a service's member; it doubles with each failure."""
+"""Delay before the first restart of a service member; doubles with each failure."""
 MAX_SERVICE_RESTART_DELAY_S: Final = 2.4
 
 
@@ -33,10 +35,10 @@
     """Return how long a task waits after a failed attempt, in seconds.
 
     Args:
-        failures: How many of its attempts have failed, this one among them.
-        most_attempts: How many may fail before its job is given up.
-        failed_on: On how many workers they failed, as far as is known.
-        service: Whether it lasts until it is cancelled.
+        failures: Number of its failed attempts, including this one.
+        most_attempts: Number of failed attempts after which its job fails.
+        failed_on: Number of different workers on which they failed, as far as known.
+        service: Whether it runs until it is cancelled.
     """
     if service:
         doubled = SERVICE_RESTART_DELAY_S * 2.0 ** max(0, failures - 1)
--- a/cranberrycleat/workflow/service_preemption.py
+++ b/cranberrycleat/workflow/service_preemption.py
@@ -1,9 +1,8 @@
-"""Stops lesser work where a service's task has no room.
+"""Preempts other work when a service member cannot be placed.
 
-Answers a pool that is full when a member of a service has lost its place: a
-service earns only while its members are at work, and the platform expects them
-back within seconds however full the pool is. What is stopped is the least
-urgent, what saves its progress first, and no more than makes the room.
+A service has value only while its members are running, and the platform expects a
+lost member back within seconds, however full the pool is. The preemption stops the
+least urgent work, prefers work that checkpoints, and stops no more than needed.
 """
 
 from typing import Final
@@ -12,15 +11,15 @@
 from cranberrycleat.workflow.fleet import FleetWorker, Placement
 
 PREEMPTION_DELAY_S: Final = 0.5
-"""How long a service's task waits for room before others are stopped: most
-tasks end within a second or two, and 3 s are allowed."""
+"""How long a service member waits for free resources before other work is preempted.
+Most tasks end within a second or two, and the platform allows 3 s."""
 
 
 def select_victims(needs: Amounts, workers: list[FleetWorker]) -> list[Placement]:
-    """Return what to stop so that one task finds room, or nothing.
+    """Return the placements to stop so that one task fits, or an empty list.
 
-    Of all workers the one is taken where the least is lost. Where enough is
-    stopping already, nothing more is.
+    The worker with the lowest preemption cost is chosen. If some worker will have
+    enough free resources once its already stopping tasks end, nothing is stopped.
     """
     best: list[Placement] = []
     best_cost = float("inf")
@@ -60,7 +59,7 @@
 
 
 def _preemption_cost(placement: Placement) -> float:
-    """Return what a stop loses: urgent work, gangs and unsaved work cost more."""
+    """Return the cost of a stop: higher for urgent, gang and non-checkpointed work."""
     task = placement.tracked_task
     assert task is not None
     spec = task.step.spec
--- a/cranberrycleat/workflow/upkeep.py
+++ b/cranberrycleat/workflow/upkeep.py
@@ -1,13 +1,14 @@
-"""Planned upkeep of machines, in waves under a cap and a due time.
+"""Planned maintenance of machines ("upkeep" in the platform's API).
 
-Answers operators' waves beside running work: a machine is emptied before its
-upkeep ends everything on it. Its worker draws nothing more; work that saves its
-progress, and services as far as their budget of absent members allows, move
-away; the rest is waited for as long as the wave's time allows. A wave is said
-to be complete only after every machine of it that is still there has begun.
+Operators request upkeep in waves, each with a cap on the machines that are down at
+once and a due time. A machine is drained before its upkeep kills everything on it:
+its worker gets no new tasks; checkpointed work is moved away, and so are service
+members as far as their disruption budget allows; other work may finish as long as the
+wave's due time allows. A wave is reported as completed only after upkeep has begun on
+every machine of it that still exists.
 
-The platform answers an upkeep that was asked for before as done, so that a
-successor starts over from the list of machines without any record of its own.
+The platform accepts a repeated request for upkeep that was already done, so a new
+owner can start over from the list of machines without any stored state.
 """
 
 import enum
@@ -19,12 +20,11 @@
 from cranberrycleat.workflow.state import StepRun
 
 DRAIN_WAIT_FRACTION: Final = 0.5
-"""Of the time that a wave leaves for each machine, the share in which running
-work may end by itself."""
+"""Fraction of a wave's time per machine during which running work may finish."""
 
 
 class MachineState(enum.Enum):
-    """What a machine is doing."""
+    """State of a machine as reported by the platform."""
 
     UP = "up"
     MOVING = "moving"
@@ -36,7 +36,7 @@
 class Machine:
     """A machine as the platform lists it; `worker` is empty while it has none.
 
-    The list names a worker by its identity, which tells no incarnations apart.
+    The list contains a worker's identity, which is the same for all incarnations.
     """
 
     name: str
@@ -51,9 +51,9 @@
 
     Attributes:
         number: The wave's number.
-        machines: The machines that are to have it.
-        due_in_s: How long it may take, from when it is first seen.
-        cap: How many may be down for it at once.
+        machines: The machines to be maintained.
+        due_in_s: How long the wave may take after it is first seen.
+        cap: How many of the machines may be down at once.
     """
 
     number: int
@@ -63,7 +63,7 @@
 
 
 class MachineVerdict(enum.Enum):
-    """The platform's answer to an order for a machine."""
+    """The platform's answer to a machine order."""
 
     ACCEPTED = "accepted"
     STALE_EPOCH = "stale-epoch"
@@ -74,11 +74,11 @@
 
 
 class MachinesUnavailable(Exception):
-    """No answer came; an order may have been or may yet be carried out."""
+    """No answer was received; an order may have been or may yet be carried out."""
 
 
 class MachineClient(Protocol):
-    """The platform's interface to machines."""
+    """Client of the platform's machine API."""
 
     async def machines(self) -> tuple[Machine, ...]:
         """Return every machine; raises `MachinesUnavailable`."""
@@ -86,7 +86,7 @@
     async def start_upkeep(
         self, *, machine: str, wave: int, holder: str, epoch: int
     ) -> MachineVerdict:
-        """Have a machine's upkeep begin; raises `MachinesUnavailable`."""
+        """Begin a machine's upkeep; raises `MachinesUnavailable`."""
 
     async def move(
         self, *, machine: str, pool: str, holder: str, epoch: int
@@ -96,14 +96,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class WaveRun:
-    """A wave that is under way.
+    """A wave in progress.
 
     Attributes:
-        wave: What was asked for.
+        wave: The operator's request.
         seen_at: When it was first seen, on the owner's clock.
-        begun: Machines whose upkeep has begun or is over.
-        chosen: Machines that are being emptied.
-        told: The state that was written last.
+        begun: Machines whose upkeep has begun or ended.
+        draining: Machines that are being drained.
+        written_state: The state that was last written for the operator.
     """
 
     wave: Wave
@@ -113,7 +113,7 @@
     written_state: str = ""
 
     def left(self, machines: dict[str, Machine]) -> list[str]:
-        """Return the machines that still have to begin."""
+        """Return the existing machines whose upkeep has not begun."""
         return [
             name
             for name in self.wave.machines
@@ -121,11 +121,11 @@
         ]
 
     def is_complete(self, machines: dict[str, Machine]) -> bool:
-        """Tell whether every machine that is still there has begun."""
+        """Return whether upkeep has begun on every machine that still exists."""
         return not self.left(machines)
 
     def select_machines(self, machines: dict[str, Machine], fleet: Fleet) -> list[str]:
-        """Choose machines to empty, so that at most `cap` are away at once."""
+        """Select machines to drain, so that at most `cap` are unavailable at once."""
         down = sum(
             machines[name].state is not MachineState.UP
             for name in self.wave.machines
@@ -144,7 +144,7 @@
         return newly_draining
 
     def wait_s(self, now: float, machines: dict[str, Machine]) -> float:
-        """Return how long a machine's work may still end by itself."""
+        """Return how long to wait for a machine's work to finish by itself."""
         left_s = self.seen_at + self.wave.due_in_s - now
         rounds = -(-len(self.left(machines)) // max(1, self.wave.cap))
         return left_s * DRAIN_WAIT_FRACTION / max(1, rounds)
@@ -156,7 +156,7 @@
 
 
 def placements_to_move(worker: FleetWorker) -> list[Placement]:
-    """Return the attempts that are to leave a machine before its upkeep, now."""
+    """Return the attempts to move off a machine now, before its upkeep."""
     selected: list[Placement] = []
     stopped: dict[str, int] = {}
     for each in worker.placements.values():
@@ -175,15 +175,15 @@
 
 
 def absent_members(step: StepRun) -> int:
-    """Return how many members of a service step are not at work."""
+    """Return how many members of a service step are not in service."""
     return sum(not task.at_full_speed for task in step.tasks)
 
 
 def may_begin_upkeep(worker: FleetWorker | None, wait_s: float) -> bool:
-    """Tell whether a chosen machine's upkeep may begin.
+    """Return whether the upkeep of a draining machine may begin.
 
-    Services are never ended by it while their budget does not allow; anything
-    else is waited for while there is time.
+    It waits until no service member runs there, however late; other work is waited for
+    only while there is time.
     """
     if worker is None or worker.liveness is Liveness.GONE:
         return True
--- a/cranberrycleat/workflow/upkeep_director.py
+++ b/cranberrycleat/workflow/upkeep_director.py
@@ -1,4 +1,4 @@
-"""Carries out upkeep waves for an owner: see `upkeep` for what is decided."""
+"""Executes upkeep waves for an owner; see `upkeep` for the decisions."""
 
 import asyncio
 import logging
@@ -27,29 +27,30 @@
 LOG: Final[logging.Logger] = part_logger("upkeep")
 POLL_INTERVAL_S: Final = 0.3
 LIST_INTERVAL_S: Final = 1.0
-"""How often the machines are listed while a wave is under way."""
+"""How often the machines are listed while a wave is in progress."""
 SETTLE_S: Final = 3.2
-"""A new owner gives no orders for machines before a predecessor's are old: the
-platform takes holders that take turns within 3 s for two at once."""
+"""A new owner sends no machine orders until its predecessor's are this old: the
+platform treats alternating holders within 3 s as two concurrent ones."""
 RUNNING: Final = "running"
 COMPLETED: Final = "completed"
 
 
 @attrs.define(kw_only=True, eq=False)
 class UpkeepDirector:
-    """Empties machines and has their upkeep begun.
+    """Drains machines and orders their upkeep.
 
     Attributes:
-        client: The platform's interface to machines.
-        writer: Writes a wave's state for the operator.
-        status: Builds that write.
-        waves: Tells the waves that were asked for, by number.
-        board: The owner's memory.
-        holder: The owner's name for its orders.
-        epoch: Tells the owner's epoch.
-        may_order: Tells whether orders may be given at this very moment.
-        stop_soon: Has links order the stops that the board asks for.
+        client: Client of the platform's machine API.
+        writer: The table to which a wave's state is written for the operator.
+        status: Builds the write of a wave's state.
+        waves: Returns the requested waves by number.
+        cluster_state: The owner's in-memory state.
+        holder: The holder name that the owner sends with its orders.
+        epoch: Returns the owner's epoch.
+        may_order: Returns whether the owner may send orders at this moment.
+        stop_soon: Makes the worker links send the stops due in the cluster state.
         clock: The owner's clock.
+        runs: The waves seen so far, by number.
     """
 
     client: MachineClient
@@ -67,7 +68,7 @@
     _listed_at: float = float("-inf")
 
     async def run(self) -> None:
-        """Work on waves until cancelled."""
+        """Process waves until cancelled."""
         began = self.clock.now()
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -82,9 +83,9 @@
                 for run in open_runs:
                     await self._advance_wave(run)
             except MachinesUnavailable as exc:
-                LOG.info("The interface to machines does not answer: %s", exc)
+                LOG.info("The platform's machine API is unavailable: %s", exc)
             except errors.TableUnavailable as exc:
-                LOG.info("A wave's state was not written: %s", exc)
+                LOG.info("The state of an upkeep wave could not be written: %s", exc)
 
     def _register_waves(self) -> None:
         for number, wave in self.waves().items():
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""Planning while hundreds of steps wait and every worker is full."""
+"""Tests of planning with a backlog of steps and no free resources."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 def _board_with_backlog(*, permits: PermitTiming | None = None) -> ClusterState:
-    """Return a board with a backlog and no room."""
+    """Return a board with a backlog and almost no free resources."""
     owner_board = cluster_state(*(worker(f"w{number}") for number in range(WORKERS)))
     for each in owner_board.fleet.workers.values():
         each.free = Amounts(processors=300, memory_mb=4000)
@@ -37,7 +37,7 @@
 def test_round_cost_is_linear_on_full_pool(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The work of a round grows with steps and workers, not with their product."""
+    """The cost of a round grows with steps plus workers, not with their product."""
     owner_board = _board_with_backlog()
     comparisons = 0
     fits_in = Amounts.fits_in
@@ -53,7 +53,7 @@
 
 
 def test_permits_are_prefetched_for_most_urgent_steps_only() -> None:
-    """What cannot start for long would only keep the permit service busy."""
+    """Queries for steps that cannot start soon would only load the permit service."""
     permit_queries = plan(_board_with_backlog(permits=PERMITS)).permit_queries
     assert len(permit_queries) == planning.MAX_PERMIT_PREFETCH_STEPS
     assert all(len(query.workers) == WORKERS for query in permit_queries)
@@ -69,7 +69,7 @@
 def test_snapshot_never_excludes_a_fitting_worker(
     free: list[tuple[int, int]], needs: tuple[int, int]
 ) -> None:
-    """A bound may let too much through, but never holds back what has room."""
+    """The bound may admit steps that do not fit, but never excludes one that does."""
     fleet = Fleet()
     for number, (processors, memory) in enumerate(free):
         each = worker(f"w{number}")
@@ -92,7 +92,7 @@
 def test_long_rounds_yield_equal_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Rounds of 0.1 s one after the other would starve the links and the door."""
+    """Back-to-back rounds of 0.1 s would starve worker links and the request API."""
     rounds: list[float] = []
 
     async def run() -> None:
@@ -116,7 +116,7 @@
 
 
 def test_step_order_follows_remaining_slack() -> None:
-    """What an order rests on is kept with the step; what is left of it is not."""
+    """The cached urgency of a step must not freeze its slack."""
     owner_board = cluster_state(worker("w", processors=1000))
     submit(owner_board, "a", job(step(1)), queue())
     submit(owner_board, "b", job(step(1, estimate_s=0.5)), queue())
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -1,4 +1,4 @@
-"""What one transaction stores in a backlog, and which ends it settles."""
+"""Tests which jobs one transaction stores and which task ends it acknowledges."""
 
 import attrs
 import pytest
@@ -23,7 +23,7 @@
 
 
 def _end(cluster_state: ClusterState, *numbers: int) -> None:
-    """Have the worker tell that jobs of these numbers are done, in this order."""
+    """Let the worker report the jobs of these numbers as done, in this order."""
     worker = cluster_state.fleet.workers["w"]
     ended = []
     for place, number in enumerate(numbers):
@@ -44,7 +44,7 @@
     ids=["small", "the largest programs"],
 )
 def test_batch_is_filled_to_entry_limit(program: str, expected: int) -> None:
-    """A new job needs one entry, a large one two; the rest stays for the next."""
+    """A new job needs one entry, a large one two; remaining jobs stay dirty."""
     cluster_state = _board(200, program=program)
     batch = take_batch(cluster_state)
     assert len(batch.jobs) == expected
@@ -58,15 +58,15 @@
 
 
 def test_oversized_job_is_stored_alone() -> None:
-    """It would otherwise keep everything behind it from being stored."""
+    """Otherwise it would block everything behind it from being stored."""
     assert len(take_batch(_board(2), 100).jobs) == 1
 
 
 def test_ends_are_acknowledged_once_their_jobs_are_stored() -> None:
-    """In a backlog something is always dirty; a worker must not list its ends for ever.
+    """Guards against ends that are never acknowledged in a permanent backlog.
 
-    The third end belongs to a job that comes in the second transaction, and the
-    ends behind it wait for it.
+    Acknowledgement must not wait until no job is dirty. The third end belongs to a job
+    of the second transaction; that end and the one behind it are acknowledged later.
     """
     cluster_state = _board(100)
     _end(cluster_state, 0, 1, 99, 2)
@@ -82,7 +82,7 @@
 
 
 def _store_and_count_rows(cluster_state: ClusterState) -> tuple[int, int]:
-    """Store what is dirty; return how many rows that wrote and removed."""
+    """Store the dirty jobs; return how many rows were written and deleted."""
     batch = take_batch(cluster_state)
     note_stored(cluster_state, batch)
     return len(batch.puts), len(batch.deletes)
@@ -96,7 +96,7 @@
 def test_rows_written_during_job_lifetime(
     program: str, expected: list[tuple[int, int]]
 ) -> None:
-    """In a slow store, entries decide how many jobs a second get through."""
+    """In a slow store, the entries per job limit the throughput of jobs."""
     cluster_state = _board(1, program=program)
     accepted = _store_and_count_rows(cluster_state)
     _end(cluster_state, 0)
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("program", ["p", "x" * 4000], ids=["small", "large"])
 def test_successor_restores_written_rows(program: str) -> None:
-    """Whether a job stands in one row or in two."""
+    """Covers jobs stored in one row and in two."""
     cluster_state = _board(1, program=program)
     written = [
         Row(key=each.key, version=1, value=each.value)
@@ -126,7 +126,7 @@
 
 
 def test_legacy_spec_row_is_deleted_when_job_ends() -> None:
-    """It stands in two rows; both its end and its changes must know that."""
+    """Earlier versions stored small jobs in two rows, which its end must handle."""
     cluster_state = _board(1)
     job_row, spec_row = rows.job_put(cluster_state.jobs["0"]), rows.spec_put(
         cluster_state.jobs["0"]
--- a/tests/test_day_clock.py
+++ b/tests/test_day_clock.py
@@ -1,8 +1,8 @@
-"""The time of day that an owner decides by, where hosts' clocks jump.
+"""Tests of the wall clock that an owner uses on hosts whose system clock is stepped.
 
-The days that it answers: on some hosts the time of day jumps by 2 to 6 s, forward or
-backward, for 6 s or for good. A short job has 1.3 s; an owner that took the jump for
-time that had passed put every short job that waited behind all others.
+On some hosts the system clock is stepped by 2 to 6 s, forward or backward, for 6 s or
+permanently. A short job has an objective of 1.3 s. An owner that treated the step as
+elapsed time ranked every short waiting job behind all others.
 """
 
 import pytest
@@ -17,14 +17,14 @@
 
 
 class FakeWallClock:
-    """A host's time of day, which a test steps."""
+    """A host's system clock, which a test can step."""
 
     def __init__(self, steady: ManualClock) -> None:
         self.steady = steady
         self.step_s = 0.0
 
     def now_s(self) -> float:
-        """Return the time of day with the steps so far."""
+        """Return the Unix time including all steps so far."""
         return START_S + self.steady.now() + self.step_s
 
 
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("ahead_s", [0.0, 5.0])
 def test_acceptance_time_is_never_in_the_future(ahead_s: float) -> None:
-    """Another host's clock said when a job in the inbox or an older row came."""
+    """Jobs in the inbox or in older rows have an acceptance time of another host."""
     _, _, day_clock = _make_clocks()
     cluster_state = ClusterState(time_of_day=day_clock.now_s)
     stated_s = cluster_state.time_of_day() + ahead_s
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Reservation, preemption, learning, quarantine: who gives way to whom, and when."""
+"""Tests of scheduling rounds: reservation, preemption, learning, quarantine."""
 
 import pytest
 
@@ -15,14 +15,14 @@
 
 
 def release(round_planner: RoundPlanner, task: str) -> None:
-    """End a task."""
+    """Release a task that has ended."""
     for each in round_planner.inventory.workers.values():
         round_planner.inventory.release(each.name, task)
     round_planner.forget(task)
 
 
 def test_waiting_gang_blocks_long_work_only() -> None:
-    """Short work goes on beside a waiting gang; long work no longer does."""
+    """Short work is still placed while a gang waits; long work no longer is."""
     round_planner = planner(worker("a", 4), worker("b", 4))
     round_planner.plan([request("old", 4, run_s=30.0)], now=0.0)
     gang = request("gang", 4, 2, Kind.GANG, run_s=60.0)
@@ -51,7 +51,7 @@
 def test_preemption_follows_declared_policy(
     gives_way: PreemptionMode, rank: Priority, expected: PreemptionMode | None
 ) -> None:
-    """Less urgent work makes room, as it said that it would."""
+    """Less urgent work is preempted in the way that it declared."""
     round_planner = planner(worker("a", 4))
     round_planner.plan([request("low", 4, rank=rank, gives_way=gives_way)], now=0.0)
     urgent = request("urgent", 4, rank=URGENT)
@@ -65,7 +65,7 @@
 
 
 def test_preemption_minimizes_lost_work() -> None:
-    """Checkpointed work goes before stopped work, young before old."""
+    """Checkpointable work is preempted before other work, young before old."""
     round_planner = planner(worker("a", 4), worker("b", 4), worker("c", 4))
     stop, check = PreemptionMode.STOP, PreemptionMode.CHECKPOINT
     round_planner.plan([request("old", 4, rank=LOW, gives_way=stop)], now=0.0)
@@ -77,7 +77,7 @@
 
 
 def test_overcommitted_worker_is_relieved() -> None:
-    """Where reports show too much in use, the least urgent task gives way."""
+    """If reports show more usage than capacity, the least urgent task is preempted."""
     round_planner = planner(worker("a", 4))
     round_planner.plan(
         [request("low", 2, rank=LOW), request("normal", 2, rank=1)], now=0.0
@@ -90,7 +90,7 @@
 
 
 def test_failing_worker_is_quarantined_and_probed() -> None:
-    """It draws less, then none, and after a rest one task at a time."""
+    """It gets fewer tasks, then none, and after its quarantine one at a time."""
     round_planner = planner(worker("a", 4))
     for number in range(QUARANTINE_AFTER):
         job = request(f"j{number}", 1, 3)
@@ -108,7 +108,7 @@
 
 
 def test_history_is_learned_per_job_family() -> None:
-    """The last night's run says more than what the next one declares."""
+    """The previous run of a nightly job outweighs what the next one declares."""
     history = RunHistory()
     history.record_run("nightly-2026-12-01", 120.0)
     history.record_usage("nightly-2026-12-01", Amounts(processors=4000))
@@ -121,14 +121,14 @@
 
 
 def test_job_failing_on_two_workers_is_not_blamed_on_workers() -> None:
-    """What failed on two workers says nothing about the third."""
+    """Failures after the second worker are not blamed on the worker."""
     history = RunHistory()
     blamed = [history.record_failed_start("bad", name) for name in ("a", "b", "c", "d")]
     assert blamed == [True, True, False, False]
 
 
 def test_short_work_goes_first_with_aging() -> None:
-    """Least work first; what has waited long overtakes it."""
+    """The shortest work goes first; long-waiting work eventually overtakes it."""
     round_planner = planner(worker("a", 4))
     long, short = request("long", 4, run_s=100.0), request("short", 4, run_s=1.0)
     busy = request("busy", 4, rank=URGENT)
@@ -139,7 +139,7 @@
 
 
 def long_job_start_s(round_planner: RoundPlanner, long: PlacementRequest) -> float:
-    """Return when a long job gets its place although short ones keep coming."""
+    """Return when a long job is placed although short ones keep arriving."""
     now, task = 1.0, "short/0"
     while now < 50_000:
         now += 100.0
--- a/tests/test_gang_member_loss.py
+++ b/tests/test_gang_member_loss.py
@@ -1,8 +1,8 @@
-"""Gangs of which one member's worker has fallen before all were there.
+"""Tests of gangs that lose a member's worker before all members have started.
 
-The load that it answers: a worker crashes just as a gang begins. Its members on other
-workers wait for it, give up after a bound of their own, and hold room for nothing
-meanwhile; what was lost is known to be lost long before.
+If a worker crashes just as a gang starts, the members on other workers wait for it and
+hold resources without making progress until they give up after their own timeout. The
+loss is known long before, so the members should be stopped earlier.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
     ("works", "stopped"), [(False, True), (True, False)], ids=["not whole", "at work"]
 )
 def test_members_are_stopped_when_worker_is_lost(works: bool, stopped: bool) -> None:
-    """A gang that is at work ends by itself; nobody need stop it."""
+    """A gang that already makes progress is not stopped; it ends by itself."""
 
     async def run() -> None:
         fleet = StandinFleet(reports_progress=works)
--- a/tests/test_lasting_waits.py
+++ b/tests/test_lasting_waits.py
@@ -1,8 +1,8 @@
-"""What a step waits for must come about: nothing waits for ever beside free workers.
+"""Tests that no step waits for ever while workers have free resources.
 
-What was seen: two steps of 14 and 29 tasks that start together ended as broken and were
-not started again in 66 s, with most of the workers' room free. The incident's own cause
-is guarded by `test_restarted_workers`; here are other waits that nothing ended.
+Observed failure: two gangs of 14 and 29 tasks ended as broken and were not restarted
+within 66 s, with most worker resources free. `test_restarted_workers` covers the cause
+of that incident; these tests cover other waits that nothing ended.
 """
 
 import pytest
@@ -18,7 +18,7 @@
 
 
 def worker_with_service(owner_board: ClusterState, name: str) -> FleetWorker:
-    """Return a worker on which a service has run since the board's time 0."""
+    """Return a worker on which a service has run since time 0 of the board."""
     found = owner_board.fleet.workers[name]
     submit(owner_board, "s", job(step(1, processors=500, service=True)), queue())
     plan(owner_board)
@@ -26,8 +26,8 @@
     return found
 
 
-# Guards against a worker that is never used again (LOST): it failed what it started,
-# and a service runs on it that never ends.
+# Guards against a worker that is never used again (LOST): it was quarantined after
+# failures and also runs a service, which never ends.
 def test_rested_worker_with_service_is_probed() -> None:
     owner_board = cluster_state(worker("w"))
     tried = worker_with_service(owner_board, "w")
@@ -42,8 +42,8 @@
     assert not tried.may_accept_work(tried.quarantined_until + 0.1)
 
 
-# Guards against room that is kept for ever (LOST): a gang that the workers which it may
-# use cannot hold takes it from steps that could run.
+# Guards against a permanent reservation (LOST): a gang that does not fit on its
+# eligible workers reserves resources that other steps could use.
 @pytest.mark.parametrize(
     "lasting", [False, True], ids=["too small", "beside a service"]
 )
@@ -57,8 +57,8 @@
     assert "a.0.0.0" in placed(owner_board)["w"]
 
 
-# Guards against a start that is refused again and again (LOST): a permit that its
-# worker has refused is had anew before the next start there.
+# Guards against a start that is refused repeatedly (LOST): a permit that its worker has
+# refused must be renewed before the next start there.
 def test_refused_permit_is_renewed() -> None:
     policy = PermitTiming(decide_s=0.1, each_s=0.0, valid_s=60.0)
     permits = StepPermits(policy=policy)
@@ -71,7 +71,7 @@
 
 
 def test_step_with_lost_placement_waits_again() -> None:
-    """A step leaves the waiting ones only while nothing of it is pending."""
+    """A step is removed from the waiting steps only while no task of it is pending."""
     owner_board = cluster_state(worker("w"))
     submit(owner_board, "a", job(step(1)), queue())
     plan(owner_board)
--- a/tests/test_orphaned_tasks.py
+++ b/tests/test_orphaned_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody wants any more: carried out late, or started by a host now gone."""
+"""Tests of tasks that are no longer wanted: late starts, and starts by a lost owner."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 def test_late_start_of_cancelled_job_is_stopped(
     followed: bool,
 ) -> None:
-    """The stop that went before makes it void, or the next list shows it."""
+    """The earlier stop invalidates the start, or the next status report reveals it."""
 
     async def run() -> None:
         async with cell(workers=1) as running_cell:
@@ -45,7 +45,7 @@
 def test_task_of_replaced_owner_is_stopped_on_cancel(
     cancelled_by: str,
 ) -> None:
-    """Who started it is gone for good; who owns now answers for it."""
+    """The owner that started it is gone; the current owner has to stop it."""
 
     async def run() -> None:
         async with cell(workers=1) as running_cell:
@@ -55,7 +55,7 @@
             await submit(first, "a", job(step(2)))
             await until(lambda: len(worker.runs) == 2)
             if cancelled_by == "one":
-                # Cancelled and stored, and its starter ends before any stop leaves.
+                # The cancellation is stored, and the owner ends before it sends a stop.
                 first.handing_over = True
                 first.cluster_state.cancel("a")
                 first.changed()
--- a/tests/test_permit_choice.py
+++ b/tests/test_permit_choice.py
@@ -1,8 +1,8 @@
-"""Which workers the permit service is asked about, in fleets of hundreds.
+"""Tests which workers the permit service is queried for in fleets of hundreds.
 
-The load that it answers: 270 workers and 80 steps a second. When each step asked about
-every worker, an owner sent 13,500 questions a second in 210 calls, and looked through
-270 answers for each step in each round.
+Guards against overload at 270 workers and 80 steps per second: when each step queried
+every worker, an owner sent 13,500 worker names per second in 210 calls and searched 270
+answers for each step in each round.
 """
 
 import attrs
@@ -22,7 +22,7 @@
 
 
 def _workers(free: int, count: int = FLEET_SIZE) -> list[FleetWorker]:
-    """Return workers of four processors that have some thousandths free."""
+    """Return workers of four processors of which `free` millicores are free."""
     workers = [worker(f"w{number:03}") for number in range(count)]
     for each in workers:
         each.free = attrs.evolve(each.free, processors=free)
@@ -51,14 +51,14 @@
 @pytest.mark.parametrize(
     ("spec", "free", "share", "least", "most"),
     [
-        # Three seats for each task that is allowed: 3 tasks at 0.7 want 13 seats.
+        # Three allowed places for each task: 3 tasks at a share of 0.7 query 13 places.
         (step(3), 1000, 0.7, 13, 40),
         (step(3), 4000, 0.7, 4, 40),
         (step(3, gang=True), 1000, 0.7, 13, 40),
         (step(1), 1000, 1.0, 3, 40),
-        # Nowhere is room: a whole call's worth is asked about ahead.
+        # No worker has free resources: one full call is queried in advance.
         (step(3), 0, 0.7, 100, 100),
-        # More than all together could hold: all are asked.
+        # More than all workers could hold together: all are queried.
         (step(2000), 4000, 0.5, FLEET_SIZE, FLEET_SIZE),
     ],
 )
@@ -81,7 +81,7 @@
 
 
 def test_scarce_resources_fill_a_whole_call() -> None:
-    """In a backlog few have room, and others take it while a call is answered."""
+    """In a backlog few workers have free resources, and other steps soon take them."""
     workers = _workers(0)
     for each in workers[100:102]:
         each.free = attrs.evolve(each.free, processors=1000)
@@ -119,7 +119,7 @@
 
 
 def test_fullest_fitting_workers_are_queried_first() -> None:
-    """So that short tasks fill gaps and leave wide ones whole workers."""
+    """Short tasks fill gaps, which leaves whole workers for wide steps."""
     workers = [worker(f"w{number:03}") for number in range(FLEET_SIZE)]
     owner_board = cluster_state(*workers)
     for number in range(40):
@@ -181,13 +181,13 @@
 
 
 def _answer(owner_board: ClusterState, query: PermitQuery, allowed: int) -> None:
-    """Have the service allow the first workers of a wish."""
+    """Record an answer that allows the first workers of a query."""
     permits = tuple(Permit(worker=name, ticket="t") for name in query.workers[:allowed])
     owner_board.permits[query.step.name].record_answer(query.workers, permits, 0.0)
 
 
 def test_per_worker_limit_excludes_used_workers_from_count() -> None:
-    """Workers that hold one of its tasks have room, and no seat for another."""
+    """Workers at the step's limit have free resources but no place for its tasks."""
     owner_board = cluster_state(*_workers(4000))
     spec = step(20, most_per_worker=1)
     submit(owner_board, "a", job(spec), queue(permits=POLICY))
@@ -200,7 +200,7 @@
 
 
 def test_failed_workers_are_excluded_from_count() -> None:
-    """Its workers have room, but those that failed it are passed over."""
+    """Allowed workers with free resources do not count if the task failed on them."""
     owner_board = cluster_state(
         *(worker(f"w{n:03}", processors=1000) for n in range(FLEET_SIZE))
     )
--- a/tests/test_permit_queue.py
+++ b/tests/test_permit_queue.py
@@ -1,4 +1,4 @@
-"""Asking for permits: urgency, spread over hosts, hosts that do not answer."""
+"""Tests of the permit queue: urgency, balancing over hosts, unresponsive hosts."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class SerialPermitService:
-    """A permit service as one host sees it: it refuses when too many wait."""
+    """Fake permit service for one host; processes calls slowly and counts waiters."""
 
     max_waiting: int = 0
     waiting: int = 0
@@ -27,7 +27,7 @@
     async def ask(
         self, *, step: str, workers: tuple[str, ...], timeout_s: float
     ) -> tuple[Permit, ...]:
-        """Allow every worker, slowly."""
+        """Allow every worker after a delay that grows with the waiting calls."""
         if self.down:
             raise PermitUnavailable("down")
         self.waiting += 1
@@ -40,12 +40,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Peers(PeerClient):
-    """Other hosts, each with its own way to the service."""
+    """Fake peer client; each other host has its own permit service."""
 
     hosts: dict[str, SerialPermitService] = attrs.field(factory=dict)
 
     async def permits(self, address: str, req: PermitRequest) -> tuple[Permit, ...]:
-        """Ask from another host."""
+        """Forward a call through another host."""
         return await self.hosts[address].ask(
             step=req.step, workers=req.workers, timeout_s=req.timeout_s
         )
@@ -54,7 +54,7 @@
 def permit_queue(
     own: SerialPermitService, others: dict[str, SerialPermitService]
 ) -> PermitQueue:
-    """Return a permit_queue with some other hosts."""
+    """Return a permit queue with some other hosts."""
     return PermitQueue(
         own=own,
         own_address="own",
@@ -65,7 +65,7 @@
 
 
 def test_burst_respects_host_limit_and_urgency() -> None:
-    """After a takeover every waiting step asks at once, and only one host is known."""
+    """After a takeover all waiting steps request permits, with one host known."""
     own = SerialPermitService()
 
     async def run() -> None:
@@ -83,7 +83,7 @@
 
     run_async(run())
     assert own.max_waiting <= MAX_CALLS_PER_HOST
-    # The first two lanes were taken before the urgent ones came.
+    # The first two calls were already in flight when the urgent ones arrived.
     assert set(own.steps[MAX_CALLS_PER_HOST : MAX_CALLS_PER_HOST + 4]) == {
         "s8",
         "s9",
@@ -93,7 +93,7 @@
 
 
 def test_calls_are_balanced_over_hosts() -> None:
-    """With other hosts at hand, one host does not do all the asking."""
+    """If other hosts are available, calls are shared equally."""
     own, other = SerialPermitService(), SerialPermitService()
 
     async def run() -> None:
@@ -111,7 +111,7 @@
 
 
 def test_unresponsive_host_is_skipped() -> None:
-    """The call goes out again from another host."""
+    """A failed call is repeated through another host."""
     own, other = SerialPermitService(), SerialPermitService(down=True)
 
     async def run() -> None:
@@ -125,7 +125,7 @@
 
 
 def test_nearest_idle_host_is_preferred() -> None:
-    """Calls to another data centre are dear: the nearest are named first."""
+    """Calls between data centres are expensive, so hosts are listed nearest first."""
     own, near, far = SerialPermitService(), SerialPermitService(), SerialPermitService()
 
     async def run() -> None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Which permits are renewed before a start, and when they count as valid."""
+"""Tests which permits are renewed before a start and when they count as valid."""
 
 import pytest
 
@@ -38,7 +38,10 @@
 def test_gang_permits_from_several_calls_become_valid_together(
     ages: tuple[float, ...],
 ) -> None:
-    """Seen on a calm day: two gangs asked again and again and never began."""
+    """Guards against gangs that renew permits endlessly and never start.
+
+    Observed for two gangs on a calm day.
+    """
     permits = _permits(SLOW, {f"w{n}": 10.0 - age for n, age in enumerate(ages)})
     names = {f"w{n}" for n in range(len(ages))}
     now, calls = 10.0, 0
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Who goes where and who goes first, decided on a board without any network."""
+"""Tests of the planner on an in-memory board: step order, placement, permits."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 def cluster_state(*workers: FleetWorker) -> ClusterState:
-    """Return a board whose clocks stand still."""
+    """Return a board with constant clocks."""
     owner_board = ClusterState(time_of_day=lambda: NOW_S, now=lambda: 0.0)
     for worker in workers:
         owner_board.fleet.workers[worker.name] = worker
@@ -26,7 +26,7 @@
 
 
 def worker(name: str, **more: object) -> FleetWorker:
-    """Return a worker that answers."""
+    """Return a live worker."""
     return FleetWorker(
         entry=entry(name, **more), liveness=Liveness.LIVE  # type: ignore[arg-type]
     )
@@ -35,12 +35,12 @@
 def submit(
     owner_board: ClusterState, job_id: str, spec: WorkflowSpec, at: Queue
 ) -> None:
-    """Hand a job in."""
+    """Submit a job."""
     owner_board.accept(job_id, at, spec)
 
 
 def plan(owner_board: ClusterState, now: float = 0.0, now_s: float = NOW_S) -> Plan:
-    """Plan one round."""
+    """Run one scheduling round."""
     return Planner(cluster_state=owner_board).plan(now=now, now_s=now_s)
 
 
@@ -53,7 +53,7 @@
 
 
 def test_higher_priority_queue_is_placed_first() -> None:
-    """With room for one, the queue of priority 0 has it."""
+    """On a worker that fits one task, the job of the priority-0 queue is placed."""
     owner_board = cluster_state(worker("w", processors=1000))
     submit(owner_board, "slow", job(step(1)), queue(priority=2))
     submit(owner_board, "fast", job(step(1)), queue(priority=0))
@@ -62,7 +62,7 @@
 
 
 def test_expired_job_is_placed_last() -> None:
-    """A job that missed even its late objective does not make others late."""
+    """A job whose result has lost all its value does not delay other jobs."""
     owner_board = cluster_state(worker("w", processors=1000))
     submit(owner_board, "old", job(step(1)), queue(priority=0))
     owner_board.jobs["old"].accepted_s = NOW_S - 100
@@ -72,7 +72,7 @@
 
 
 def test_gang_placement_is_all_or_nothing() -> None:
-    """Three members of two thousand need two workers of four."""
+    """Three members of 2000 millicores each need two workers of 4000."""
     owner_board = cluster_state(worker("w"))
     submit(owner_board, "g", job(step(3, processors=2000, gang=True)), queue())
     assert not plan(owner_board).groups
@@ -83,7 +83,7 @@
 
 
 def test_waiting_gang_reserves_resources() -> None:
-    """Room on its workers is kept from steps that come after it."""
+    """Its reservation keeps lower-ranked small steps from starving it."""
     owner_board = cluster_state(worker("w"), worker("v"))
     submit(owner_board, "first", job(step(1, processors=1000)), queue())
     plan(owner_board)
@@ -109,7 +109,7 @@
 def test_placement_constraints_and_preferences(
     spec: StepSpec, expected: set[str]
 ) -> None:
-    """Labels and limits bind; racks and full workers are preferred."""
+    """Labels and per-worker limits are enforced; racks and full workers preferred."""
     owner_board = cluster_state(worker("w", rack="r1"), worker("v", rack="r2"))
     if spec.count == 2 and not spec.most_per_worker and not spec.gang:
         spec = attrs.evolve(spec, count=6)
@@ -120,7 +120,7 @@
 
 
 def test_filler_counts_no_processors() -> None:
-    """It runs on what the others leave."""
+    """Fillers run on processors that other tasks leave idle."""
     owner_board = cluster_state(worker("w", processors=1000))
     submit(owner_board, "full", job(step(1, processors=1000)), queue(priority=0))
     submit(owner_board, "fill", job(step(3, processors=1000, filler=True)), queue())
@@ -150,8 +150,10 @@
 
 
 @pytest.mark.parametrize("mar", [_silent, _doubted, _unlisted, _leaving, _failing])
-def test_unavailable_worker_gets_no_tasks(mar: Callable[[FleetWorker], None]) -> None:
-    """Workers that cannot be trusted with work get none."""
+def test_unavailable_worker_gets_no_tasks(
+    mar: Callable[[FleetWorker], None],
+) -> None:
+    """Silent, suspected, unlisted, leaving and failing workers are not used."""
     owner_board = cluster_state(worker("w"))
     mar(owner_board.fleet.workers["w"])
     submit(owner_board, "a", job(step(1)), queue())
@@ -160,7 +162,7 @@
 
 
 def test_failing_worker_is_probed_with_one_task() -> None:
-    """After its rest it has one task; a success sets it free."""
+    """After its quarantine it gets one task; a success ends the probation."""
     owner_board = cluster_state(worker("w"))
     _failing(owner_board.fleet.workers["w"])
     submit(owner_board, "a", job(step(3)), queue())
@@ -172,7 +174,7 @@
 
 
 def test_permits_are_requested_once_and_enforced() -> None:
-    """Only allowed workers are used, and a known answer is not asked again."""
+    """Only allowed workers are used, and a known answer is not requested again."""
     owner_board = cluster_state(worker("w"), worker("v"))
     policy = PermitTiming(decide_s=0.1, each_s=0.0, valid_s=1.0)
     submit(owner_board, "a", job(step(1)), queue(permits=policy))
@@ -188,7 +190,7 @@
 
 
 def test_scheduled_occurrences_open_when_due() -> None:
-    """None starts before its time, and all of them run."""
+    """No occurrence opens early, and none is skipped."""
     now_s = NOW_S
     owner_board = ClusterState(time_of_day=lambda: now_s, now=lambda: 0.0)
     spec = WorkflowSpec(
@@ -218,7 +220,7 @@
     ],
 )
 def test_infeasible_jobs_are_detected(spec: StepSpec, reason: str) -> None:
-    """Too large, no such label, too wide; not what only has to wait."""
+    """Covers size, label and gang width; a job that only has to wait is feasible."""
     workers = [worker("w"), worker("v")]
     for each in workers:
         each.liveness = Liveness.SILENT
@@ -228,7 +230,7 @@
 
 
 def test_resources_are_released_when_placement_ends() -> None:
-    """What is placed counts until it is proved to be over."""
+    """A placement's resources are released only when it is known to have ended."""
     owner_board = cluster_state(worker("w", processors=2000))
     submit(owner_board, "a", job(step(3, processors=1000)), queue())
     plan(owner_board)
@@ -254,7 +256,7 @@
 def test_task_avoids_worker_that_failed_it(
     names: tuple[str, ...], failures: int, expected: str, gang: bool
 ) -> None:
-    """That worker has room at once, and is the fuller one here."""
+    """The failed worker is the fuller one here, so it would otherwise be preferred."""
     workers = [worker(name) for name in names]
     workers[0].free = Amounts(processors=2000, memory_mb=4000)
     workers[0].failures = failures
@@ -271,7 +273,7 @@
     ids=["too wide for the others", "the others are at their limit"],
 )
 def test_failed_worker_is_used_if_no_other_has_capacity(spec: StepSpec) -> None:
-    """Otherwise the task would wait for ever."""
+    """Guards against tasks that wait for ever for another worker."""
     workers = [worker("bad"), worker("good")]
     workers[0].failures = 1
     owner_board = cluster_state(*workers)
@@ -286,7 +288,7 @@
     ("waited_s", "goes"), [(0.5, False), (2.5, True)], ids=["waits", "goes"]
 )
 def test_task_waits_for_rack_of_its_data(waited_s: float, goes: bool) -> None:
-    """At three times the run time elsewhere, 2 s of it; then any worker will do."""
+    """With a threefold run time elsewhere it waits for 2 s, then takes any worker."""
     near, far = worker("near", rack="r1"), worker("far", rack="r2")
     near.free = Amounts(processors=500, memory_mb=4000)
     owner_board = cluster_state(near, far)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform, against a stand-in of its published protocol."""
+"""Tests of the platform adapter against a fake of the platform's published protocol."""
 
 import asyncio
 import base64
@@ -43,13 +43,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakePlatform:
-    """An HTTP stand-in: a store by the platform's page, and canned answers.
+    """An HTTP fake: a store that follows the platform's protocol, and canned answers.
 
     Attributes:
         rows: The rows by table, part and key.
-        version: The store's one counter.
-        canned: Answers by path; they go before the store's own.
-        seen: Bodies and headers that came, by path.
+        version: The store's global version counter.
+        canned: Answers by path, which take precedence over the store's own.
+        seen: Path, body and headers of each request.
     """
 
     rows: dict[tuple[str, str, str], dict[str, Any]] = attrs.field(factory=dict)
@@ -70,7 +70,7 @@
         await send_answer(send, Answer(message=data, status=status))
 
     def answer(self, path: str, sent: Any, args: dict[str, str]) -> tuple[int, Any]:
-        """Carry out a call to the store."""
+        """Execute a call to the store."""
         match path:
             case "/api/rows-tx":
                 return self.transact(sent)
@@ -118,7 +118,7 @@
 
 @contextlib.asynccontextmanager
 async def run_fake_platform() -> AsyncIterator[tuple[FakePlatform, str, HttpClient]]:
-    """Run a stand-in on loopback."""
+    """Run a fake platform on loopback."""
     fake = FakePlatform()
     server = HttpServer(app=fake, host="127.0.0.1", port=0)
     await server.start()
@@ -131,14 +131,14 @@
 
 
 def put(key: str, value: str = "v") -> Transaction:
-    """Return a write of a row that must not exist."""
+    """Return a write that requires that the row does not exist."""
     return Transaction(
         checks=(Check(key=key, version=0),), puts=(Put(key=key, value=value),)
     )
 
 
 def test_conditional_writes_and_paged_reads() -> None:
-    """Conditions, conflicts, pages and deletions, as the page on the store says."""
+    """Covers conditions, conflicts, pages and deletions of the store protocol."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -160,7 +160,7 @@
 
 
 def test_inbox_uses_dedicated_part() -> None:
-    """What doors write must not keep the owner's transactions waiting."""
+    """Writes to the inbox must not delay the owner's transactions."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -184,7 +184,7 @@
     ],
 )
 def test_store_error_statuses(status: int, expected: type[Exception]) -> None:
-    """A refusal did nothing; anything else may have."""
+    """A rejected call had no effect; after any other error it may have had one."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -229,7 +229,7 @@
     ],
 )
 def test_worker_order_replies(status: int, body: Any, expected: Any) -> None:
-    """Every answer of the page, and some that it does not have."""
+    """Covers every answer of the worker protocol and some that it does not define."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -257,7 +257,7 @@
 
 
 def test_worker_sync_reply() -> None:
-    """Both lists, with and without the fifth entry."""
+    """Covers running and ended tasks, with and without the optional fifth field."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -293,7 +293,7 @@
     ],
 )
 def test_malformed_sync_reply_is_unreachable(lists: dict[str, Any]) -> None:
-    """They count as no answer, with the reason, and nothing is lost by them."""
+    """A malformed list counts as no answer; the error names the worker."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -309,7 +309,7 @@
 
 
 def test_undecodable_row_does_not_hide_others() -> None:
-    """Its reader gives the finding with its place."""
+    """The undecodable row itself is rejected with its place."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -333,7 +333,7 @@
 
 
 def test_permit_replies() -> None:
-    """Good workers with tickets; an answer that is none raises."""
+    """Allowed workers get tickets; an error status raises."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
@@ -349,13 +349,13 @@
 
 
 def row(key: str, value: object) -> Row:
-    """Return a row as the store gives it."""
+    """Return a row as the store returns it."""
     text = value if isinstance(value, str) else json.dumps(value)
     return Row(key=key, version=1, value=text)
 
 
 def test_read_configuration_and_worker_rows() -> None:
-    """Fields that are zero are left out; unknown ones are passed over."""
+    """Omitted fields are zero, and unknown fields are ignored."""
     config = read_config(
         row(
             "op/config",
@@ -398,14 +398,14 @@
 
 @pytest.mark.parametrize("value", ["", "{", "[]", {"version": "x"}, {"routes": [1]}])
 def test_malformed_configuration_reports_its_row(value: object) -> None:
-    """The finding names the row."""
+    """The error names the row."""
     with pytest.raises(errors.FindingsError) as caught:
         read_config(row("op/config", value))
     assert caught.value.findings[0].place == "op/config"
 
 
 def test_job_body_fields_are_mapped() -> None:
-    """Every field of the page on jobs reaches the product's own names."""
+    """Each field of the platform's job format is translated."""
     spec = read_job(
         json.dumps(
             {
@@ -463,7 +463,7 @@
 
 
 def test_read_settings(tmp_path: Path) -> None:
-    """The platform's file, and what it leaves out."""
+    """Omitted settings get their defaults."""
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS)
     cfg = read_settings(str(path))
@@ -472,7 +472,7 @@
 
 
 def test_reread_settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A change is taken in; a file that cannot be read changes nothing."""
+    """A change is applied; a malformed file changes nothing."""
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS)
     monkeypatch.setenv("CRANBERRYCLEAT_NODE_FILE", str(path))
@@ -491,7 +491,7 @@
     "text", ["", "node = 1", "= x", SETTINGS.replace("[platform]", "[other]")]
 )
 def test_malformed_settings_report_their_file(tmp_path: Path, text: str) -> None:
-    """The finding names the file."""
+    """The error names the file."""
     path = tmp_path / "settings.toml"
     path.write_text(text)
     with pytest.raises(errors.FindingsError) as caught:
@@ -500,7 +500,7 @@
 
 
 def test_values_are_base64_on_the_wire() -> None:
-    """Rows hold text; the platform holds bytes."""
+    """Rows contain text, which the platform stores as bytes."""
 
     async def run() -> None:
         async with run_fake_platform() as (fake, address, http):
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Workers on which nothing moves: found by progress, left, and tried again."""
+"""Tests of stalled workers: detection by progress, restart elsewhere, probing."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 def _worker_running(*specs: StepSpec) -> FleetWorker:
-    """Return a worker on which one job of each spec has just begun."""
+    """Return a worker on which one job per spec has just started."""
     only = worker("w", processors=16000)
     owner_board = cluster_state(only)
     for number, spec in enumerate(specs):
@@ -85,14 +85,14 @@
 def test_tasks_stopped_on_stalled_worker(
     spec: StepSpec, after_s: float, expected: bool
 ) -> None:
-    """Objectives: twice the estimate and 1 s."""
+    """The objective is twice the estimate plus 1 s."""
     only = _worker_running(spec)
     found = progress.placements_to_stop(only, NOW_S + after_s)
     assert found == (list(only.placements.values()) if expected else [])
 
 
 def test_stalled_worker_is_replaced_and_probed() -> None:
-    """The worker goes on answering; after a rest it is given one task."""
+    """The worker keeps answering calls; after its quarantine it is probed."""
 
     async def run() -> None:
         async with cell(workers=2) as running_cell:
--- a/tests/test_retrying.py
+++ b/tests/test_retrying.py
@@ -1,4 +1,4 @@
-"""When a task whose attempt failed is tried again, and that it goes elsewhere."""
+"""Tests retry delays of failed tasks and their placement on another worker."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 def test_only_last_attempt_is_delayed(
     failures: int, most: int, failed_on: int, expected: float
 ) -> None:
-    """A first failure costs no time; the last attempt waits for evidence."""
+    """Only the last attempt waits, so that a failing worker can be detected first."""
     found = retry_delay_s(
         failures=failures, most_attempts=most, failed_on=failed_on, service=False
     )
@@ -45,13 +45,13 @@
     ],
 )
 def test_service_restart_delay_doubles(failures: int, expected: float) -> None:
-    """Nothing else limits its attempts."""
+    """The attempts of a service are not limited otherwise."""
     found = retry_delay_s(failures=failures, most_attempts=1, failed_on=9, service=True)
     assert found == expected
 
 
 def test_failed_task_is_placed_elsewhere_at_once() -> None:
-    """Half the slack of a short job was a pause that protected nothing."""
+    """Guards against an unneeded retry delay that used half of a short job's slack."""
     cluster_state = ClusterState(time_of_day=lambda: 1000.0, now=lambda: 0.0)
     for name in ("w0", "w1"):
         worker = FleetWorker(entry=entry(name), liveness=Liveness.LIVE)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Services, fillers, leaving workers and upkeep waves: decisions and whole runs."""
+"""Tests of services, fillers, leaving workers and upkeep waves."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
 def mark_all_running(
     worker_under_test: FleetWorker, *, percent: float = 50.0
 ) -> list[Placement]:
-    """Have everything that is placed on a worker run."""
+    """Mark every placement on a worker as running."""
     for each in worker_under_test.placements.values():
         each.stored = each.ordered = each.running = True
         each.percent = percent
@@ -42,7 +42,7 @@
     return list(worker_under_test.placements.values())
 
 
-# --- fillers beside serving tasks ------------------------------------------------
+# --- fillers next to serving tasks -----------------------------------------------
 
 
 def worker_with_fillers(reading: float) -> FleetWorker:
@@ -64,7 +64,7 @@
 def test_fillers_are_throttled_near_latency_limit(
     reading: float, expected: int | None
 ) -> None:
-    """Near the limit they are slowed, past it they are stopped, at once."""
+    """They are slowed down near the limit and paused beyond it, at once."""
     orders = throttle_orders(worker_with_fillers(reading), now=100.0)
     assert {each.percent for each in orders} == (
         set() if expected is None else {expected}
@@ -73,7 +73,7 @@
 
 
 def test_fillers_recover_in_steps() -> None:
-    """Once there is room again, not all at once."""
+    """Once latency is low again, their speed rises in steps."""
     only = worker_with_fillers(400)
     for order in throttle_orders(only, now=100.0):
         order.placement.throttle = order.percent
@@ -88,7 +88,7 @@
 
 
 def test_service_preempts_batch_work_on_full_pool() -> None:
-    """A full pool stops lesser work for a member of a service, and no more."""
+    """On a full pool, one service member preempts just one batch task."""
     only = worker("w", processors=3000)
     owner_board = cluster_state(only)
     owner_board.accept("b", queue(priority=2), job(step(3, processors=1000)))
@@ -106,7 +106,7 @@
 
 
 def test_preemption_delay_restarts_with_each_loss() -> None:
-    """A member that is lost later waits as long as the first one did."""
+    """A member that is lost later waits for the full preemption delay as well."""
     only = worker("w", processors=2000)
     owner_board = cluster_state(only)
     planner = Planner(cluster_state=owner_board)
@@ -132,7 +132,7 @@
 
 
 def test_preemption_prefers_checkpointed_low_priority_work() -> None:
-    """The stop that loses least is chosen; services are never stopped for it."""
+    """The cheapest stop is chosen; services are never preempted."""
     only = worker("w", processors=4000)
     owner_board = cluster_state(only)
     owner_board.accept("urgent", queue(priority=0), job(step(1)))
@@ -148,7 +148,7 @@
 
 
 def test_service_member_is_always_restarted() -> None:
-    """Failures are not counted, and the job goes on until it is cancelled."""
+    """Failures are not counted, and the job runs until it is cancelled."""
 
     def work(task: str, attempt: int) -> SimulatedWork:
         return SimulatedWork(
@@ -183,7 +183,7 @@
 def test_tasks_evacuated_from_leaving_worker(
     spec: StepSpec, percent: float, moves: bool
 ) -> None:
-    """Services move, saved work moves unless it ends in time, the rest stays."""
+    """Services move, checkpointed work moves unless it ends in time, the rest stays."""
     only = worker("w")
     owner_board = cluster_state(only)
     owner_board.accept("a", queue(), job(attrs.evolve(spec, estimate_s=9.0)))
@@ -198,18 +198,18 @@
 
 
 def make_machine(name: str, state: MachineState = MachineState.UP) -> Machine:
-    """Return a machine of a worker of like name."""
+    """Return a machine with a worker of corresponding name."""
     return Machine(name=name, pool="pool", state=state, worker=f"w-{name}")
 
 
 def make_wave_run(*machines: str, cap: int = 1) -> WaveRun:
-    """Return a wave that was just seen."""
+    """Return a wave that was first seen at time 0."""
     found = Wave(number=1, machines=machines, due_in_s=20.0, cap=cap)
     return WaveRun(wave=found, seen_at=0.0)
 
 
 def test_wave_never_exceeds_its_cap() -> None:
-    """Machines that are down for it count, and so do those being emptied."""
+    """Machines that are down and machines being drained both count."""
     run = make_wave_run("a", "b", "c", "d", cap=2)
     machines = {name: make_machine(name) for name in "abcd"}
     fleet = cluster_state().fleet
@@ -223,7 +223,7 @@
 
 
 def test_wave_completes_when_remaining_machines_have_begun() -> None:
-    """A machine that is gone need not begin; one that is busy has to."""
+    """A removed machine does not count; a busy one does."""
     run = make_wave_run("a", "b")
     machines = {"a": make_machine("a"), "b": make_machine("b", MachineState.MOVING)}
     run.begun.add("a")
@@ -232,7 +232,7 @@
 
 
 def test_services_are_evacuated_within_disruption_budget() -> None:
-    """One member may be away: the second waits until the first is back at work."""
+    """With a budget of one, the second member waits until the first is back."""
     one, two = worker("w", processors=2000), worker("v", processors=2000)
     owner_board = cluster_state(one, two)
     spec = step(3, processors=1000, service=True, may_be_away=1)
@@ -251,7 +251,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeMachineClient:
-    """An interface to machines that ends what runs on one, as the platform does."""
+    """Fake machine API; accepts every upkeep and records it."""
 
     cell: Cell
     begun: list[str] = attrs.field(factory=list)
@@ -267,7 +267,7 @@
     async def start_upkeep(
         self, *, machine: str, wave: int, holder: str, epoch: int
     ) -> MachineVerdict:
-        """Note that the upkeep has begun."""
+        """Record that the upkeep has begun."""
         self.begun.append(machine)
         self.epochs.add(epoch)
         return MachineVerdict.ACCEPTED
@@ -275,7 +275,7 @@
     async def move(
         self, *, machine: str, pool: str, holder: str, epoch: int
     ) -> MachineVerdict:
-        """Move nothing."""
+        """Reject every move as busy."""
         return MachineVerdict.BUSY
 
 
@@ -300,7 +300,7 @@
 def test_wave_drains_machine_and_reports_completion(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Saved work moves away first; the operator reads both states in turn."""
+    """Checkpointed work is moved first; both states are written for the operator."""
     monkeypatch.setattr("cranberrycleat.workflow.upkeep_director.SETTLE_S", 0.0)
 
     async def run() -> None:
@@ -328,7 +328,7 @@
 
 
 def test_serving_tasks_are_spread_over_workers() -> None:
-    """Members that serve do not crowd where others serve already."""
+    """A worker without serving tasks is preferred for a serving task."""
     owner_board = cluster_state(worker("w"), worker("v"))
     spec = step(2, processors=500, service=True, tail_limit_ms=100)
     owner_board.accept("s", queue(), job(spec))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,12 +1,12 @@
-"""How many jobs are said to wait.
-
-What was seen, once: a caller was told that no job of a queue waited; five had been
-accepted 5 s before and nothing of them had begun. How it came about: their tasks were
-placed on workers of a data centre that had just been cut off, where no start was
-answered; until the leases there were over (6 s) nothing could start elsewhere. What
-causes it: a job counts as begun once it is placed, not once a worker has accepted a
-start of it. What proves it: the log of the same day played again, in which such a job
-was accepted at 34.29 s, placed at 34.35 s and started at 39.59 s.
+"""Tests the number of waiting jobs reported to callers.
+
+Guards against jobs that count as started once they are placed, rather than once a
+worker has accepted a start. Observed once: a caller was told that no job of a queue
+was waiting, although five had been accepted 5 s earlier and none had started. Their
+tasks had been placed on workers of a data centre that had just been cut off. No start
+was answered there, and nothing could start elsewhere until the worker leases expired
+(6 s). In the log of a replay of that day, such a job was accepted at 34.29 s, placed
+at 34.35 s and started at 39.59 s.
 """
 
 from tests.cell import cell, job, step, submit, until
@@ -27,7 +27,7 @@
 
 
 def test_job_counts_as_waiting_when_stop_overtakes_start() -> None:
-    """A worker answers 'an old attempt' to a start that it was told to stop before."""
+    """A worker rejects a start as stale if it was told to stop that attempt before."""
 
     async def run() -> None:
         async with cell(workers=1) as running_cell:
