--- a/cranberrycleat/amounts.py
+++ b/cranberrycleat/amounts.py
@@ -1,22 +1,22 @@
-"""Amounts of the resources that workers have and tasks need."""
+"""Resource amounts: the capacity of workers and the needs of tasks."""
 
 from typing import Final
 
 import attrs
 
 MILLI: Final = 1000
-"""Processors are counted in thousandths, so that sums are exact."""
+"""Processors are counted in thousandths, as integers, so that sums are exact."""
 
 
 @attrs.frozen(kw_only=True)
 class Amounts:
-    """Amounts of each resource, all whole numbers.
+    """An amount of each resource, all integers.
 
     Attributes:
         processors: In thousandths of a processor.
         memory_mb: In mebibytes.
-        accelerators: Whole accelerators.
-        slots: Requests a service may answer at once.
+        accelerators: The number of accelerators.
+        slots: The number of requests that a service handles concurrently.
     """
 
     processors: int = 0
@@ -34,7 +34,7 @@
         )
 
     def minus(self, other: "Amounts") -> "Amounts":
-        """Return the difference; parts may be negative."""
+        """Return the difference; amounts may be negative."""
         return Amounts(
             processors=self.processors - other.processors,
             memory_mb=self.memory_mb - other.memory_mb,
@@ -43,7 +43,7 @@
         )
 
     def times(self, count: int) -> "Amounts":
-        """Return the sum of so many of these."""
+        """Return the amounts multiplied by a count."""
         return Amounts(
             processors=self.processors * count,
             memory_mb=self.memory_mb * count,
@@ -52,7 +52,7 @@
         )
 
     def fits_in(self, free: "Amounts") -> bool:
-        """Tell whether these amounts are all there in `free`."""
+        """Return whether every amount is available in `free`."""
         return (
             self.processors <= free.processors
             and self.memory_mb <= free.memory_mb
@@ -61,7 +61,7 @@
         )
 
     def elementwise_max(self, other: "Amounts") -> "Amounts":
-        """Return the larger of each part."""
+        """Return the larger amount of each resource."""
         return Amounts(
             processors=max(self.processors, other.processors),
             memory_mb=max(self.memory_mb, other.memory_mb),
@@ -74,7 +74,7 @@
 
 
 def dominant_share(part: Amounts, whole: Amounts) -> float:
-    """Return the largest share that `part` takes of any resource of `whole`."""
+    """Return the largest share of `part` in `whole` over all resources."""
     return max(
         part.processors / max(1, whole.processors),
         part.memory_mb / max(1, whole.memory_mb),
--- a/cranberrycleat/cli_explain.py
+++ b/cranberrycleat/cli_explain.py
@@ -20,7 +20,7 @@
 @click.command()
 @click.argument("job", required=False)
 @click.argument("files", nargs=-1, type=click.File("r"))
-@click.option("--losses", is_flag=True, help="Sum up every job that was lost or late.")
+@click.option("--losses", is_flag=True, help="Count all jobs that were lost or late.")
 @click.option(
     "--by",
     default=CAUSE,
@@ -35,11 +35,11 @@
     by: str,
     logs: tuple[TextIO, ...],
 ) -> None:
-    """Tell a job's story from logs, and the decision that cost it.
+    """Print the timeline of a job from logs, and the cause of its delay or loss.
 
-    Reads the files, or standard input: JSON lines of any number of processes
-    in any order, also behind a test bench's prefixes. With --losses no JOB is
-    given: name files by --log.
+    Reads the files, or standard input: JSON lines of any number of processes in any
+    order, with or without the line prefixes of a test bench. With --losses no JOB is
+    given; pass files with --log.
     """
     keys = tuple(by.split(","))
     unknown = [key for key in keys if key not in KEYS]
@@ -51,7 +51,7 @@
         _print_losses(entries, keys)
         return
     if job is None:
-        raise click.UsageError("name a JOB, or give --losses")
+        raise click.UsageError("either JOB or --losses is required")
     timeline = job_timeline(entries, job)
     if not timeline.job_entries:
         click.echo(f"error: no log line mentions job {job!r}", err=True)
--- a/cranberrycleat/codec.py
+++ b/cranberrycleat/codec.py
@@ -1,7 +1,7 @@
-"""JSON for messages: one pair of functions over msgspec.
+"""JSON encoding and decoding of messages with msgspec.
 
-Messages are attrs classes (see `messages`); msgspec encodes them as JSON
-objects and checks types, with the place of the fault, when decoding.
+Messages are attrs classes (see `messages`). msgspec encodes them as JSON objects; when
+decoding, it checks types and reports the path of a fault.
 """
 
 from typing import TypeVar
@@ -14,25 +14,25 @@
 
 
 def encode(value: object) -> bytes:
-    """Return the message as JSON bytes."""
+    """Encode a message as JSON bytes."""
     return msgspec.json.encode(value)
 
 
 def encode_text(value: object) -> str:
-    """Return the message as JSON text, the form that table rows hold."""
+    """Encode a message as JSON text, the form used in table rows."""
     return msgspec.json.encode(value).decode()
 
 
 def decode(data: bytes | str, kind: type[T], *, place: str = "body") -> T:
-    """Decode and check one message.
+    """Decode and validate a message.
 
     Args:
         data: JSON text.
         kind: The class to build.
-        place: What to call the input in a finding.
+        place: The name of the input in a finding.
 
     Raises:
-        FindingsError: The text is not JSON, or not of that shape.
+        FindingsError: The text is not JSON, or does not match the class.
     """
     try:
         return msgspec.json.decode(data, type=kind)
--- a/cranberrycleat/errors.py
+++ b/cranberrycleat/errors.py
@@ -1,16 +1,16 @@
-"""Errors and findings: every message text and stable code stands here.
+"""Errors and findings, with all their message texts and stable codes.
 
-A `Finding` is one fault with its place. Checks gather findings in `Findings`,
-which sorts and de-duplicates them, so that a user sees every fault at once. A
-`ProblemError` carries an RFC 9457 problem document from the place where a
-request is refused to the HTTP edge.
+A `Finding` is a fault in some input, with its location. Validation collects findings in
+`Findings`, which sorts and de-duplicates them, so that users see all faults at once. A
+`ProblemError` carries an RFC 9457 problem document from the code that refuses a request
+to the HTTP layer.
 """
 
 from typing import Final
 
 import attrs
 
-# Codes are stable: programs may test them. Texts may be reworded.
+# Codes are stable, since programs may test them. Texts may be reworded.
 BAD_VALUE: Final = "bad-value"
 UNKNOWN_FIELD: Final = "unknown-field"
 MISSING: Final = "missing"
@@ -70,12 +70,12 @@
 
 @attrs.frozen(kw_only=True, order=True)
 class Finding:
-    """One fault and its place.
+    """A fault and its location.
 
     Attributes:
-        place: Where it stands: a flag, a variable, or file and field path.
+        place: The location: a flag, an environment variable, or file and field path.
         code: The stable code, one of the constants of this module.
-        message: The text for people.
+        message: The human-readable text.
     """
 
     place: str
@@ -88,37 +88,37 @@
 
 
 def finding(place: str, code: str, **details: object) -> Finding:
-    """Build a finding from the code's text.
+    """Build a finding with the text of a code.
 
     Args:
-        place: Where the fault stands.
+        place: The location of the fault.
         code: One of the codes of this module.
-        **details: The values that the text names.
+        **details: The values for the placeholders in the text.
     """
     return Finding(place=place, code=code, message=TEXTS[code].format(**details))
 
 
 @attrs.define(kw_only=True)
 class Findings:
-    """A collector of faults, reported together."""
+    """A collection of faults that are reported together."""
 
     items: list[Finding] = attrs.field(factory=list)
 
     def add(self, place: str, code: str, **details: object) -> None:
-        """Record one fault (see `finding` for the arguments)."""
+        """Add a fault (see `finding` for the arguments)."""
         self.items.append(finding(place, code, **details))
 
     def extend(self, others: "tuple[Finding, ...]") -> None:
-        """Record faults that another check has found."""
+        """Add faults found by another check."""
         self.items.extend(others)
 
     def sorted(self) -> tuple[Finding, ...]:
-        """Return the faults, each once, ordered by place."""
+        """Return the faults without duplicates, ordered by location."""
         return tuple(sorted(set(self.items)))
 
 
 class FindingsError(Exception):
-    """Raised where input cannot be used; carries every fault found.
+    """Raised for invalid input; carries all faults found.
 
     Attributes:
         findings: The faults, sorted.
@@ -130,13 +130,13 @@
 
 
 class ProblemError(Exception):
-    """A refusal on its way to the HTTP edge.
+    """A refused request, to be rendered by the HTTP layer.
 
     Attributes:
         status: The HTTP status.
         code: The stable code.
-        detail: The text for people.
-        retry_after_s: When to come back, in seconds, or None.
+        detail: The human-readable text.
+        retry_after_s: After how many seconds to retry, or None.
         findings: Faults in the input, if any.
     """
 
@@ -158,20 +158,20 @@
 
 
 class TableUnavailable(Exception):
-    """The table gave no answer; a write may or may not have taken effect."""
+    """The table did not answer; a write may or may not have been applied."""
 
 
 class TableRefused(TableUnavailable):
-    """The table refused a call before doing anything of it."""
+    """The table refused a call before applying any of it."""
 
 
 class PeerUnavailable(Exception):
-    """A peer, worker or daemon could not be reached or gave no answer."""
+    """A peer, worker or daemon was unreachable or did not answer."""
 
 
 class NotSent(PeerUnavailable):
-    """No connection was made, so that no byte of the request left."""
+    """No connection was established, so no byte of the request was sent."""
 
 
 class NotOwner(NotSent):
-    """The peer answers and is not the owner: nothing was done."""
+    """The peer answered that it is not the owner; it did nothing."""
--- a/cranberrycleat/events.py
+++ b/cranberrycleat/events.py
@@ -1,9 +1,9 @@
-"""Every event that the node logs: a typed message each, with a stable name.
+"""The events that a node logs: typed messages with stable names.
 
-An event is one decision that touches a request or changes what a process
-believes, with the inputs that decided it and the outcome. docs/OPERATIONS.md
-lists them; a test compares that table with this module. Times are in seconds;
-`job` is the caller's identity for a job, `task` ID.OCCURRENCE.STEP.INDEX.
+An event records a decision that affects a request or changes the state of a process,
+with its inputs and its outcome. docs/OPERATIONS.md lists all events; a test compares
+that table with the first lines of the doc comments here. Times are in seconds; `job` is
+the ID that the caller chose, `task` is JOB.OCCURRENCE.STEP.INDEX.
 """
 
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class EventKind:
-    """What is known of one kind of event.
+    """The properties of an event class.
 
     Attributes:
         name: The stable name.
-        doc: What it tells, in one line.
-        kept: It is never among the first to be left out of a full log.
+        doc: A one-line description.
+        essential: Whether it is dropped last when the log queue is full.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 @dataclass_transform(kw_only_default=True, frozen_default=True)
 def event(name: str, *, essential: bool = False) -> Callable[[type[T]], type[T]]:
-    """Return a decorator that makes a class an event of that name."""
+    """Return a decorator that registers a class as an event with a name."""
 
     def register(cls: type[T]) -> type[T]:
         event_class = attrs.frozen(kw_only=True)(cls)
@@ -45,12 +45,12 @@
     return register
 
 
-# --- a job's way -----------------------------------------------------------------
+# --- the life cycle of a job -----------------------------------------------------
 
 
 @event("job.accepted")
 class JobAccepted:
-    """The owner took a job in; it is not stored yet."""
+    """The owner accepted a job in memory; it is not stored yet."""
 
     job: str
     queue: str
@@ -67,7 +67,7 @@
 
 @event("job.stored")
 class JobStored:
-    """The table has a new job: the caller may be told that it is accepted."""
+    """A new job was stored: the caller may now be told that it is accepted."""
 
     job: str
     after_s: float
@@ -75,7 +75,7 @@
 
 @event("job.refused", essential=True)
 class JobRefused:
-    """A door refused a job; nothing of it was sent on or stored."""
+    """A front end refused a job; nothing of it was forwarded or stored."""
 
     job: str
     queue: str
@@ -86,9 +86,9 @@
 
 @event("caller.rejected", essential=True)
 class CallerRejected:
-    """A request was not carried out for want of a good key.
+    """A request was rejected because it had no valid key.
 
-    `key` is the beginning of its digest; `job` is empty for a question for a queue.
+    `key` is a prefix of the key's digest; `job` is empty for a query of a queue.
     """
 
     job: str
@@ -100,7 +100,7 @@
 
 @event("job.malformed", essential=True)
 class JobMalformed:
-    """A job cannot be read, or asks for what can never be."""
+    """A job cannot be decoded, or its request can never be satisfied."""
 
     job: str
     queue: str
@@ -109,7 +109,7 @@
 
 @event("job.unknown", essential=True)
 class JobUnknown:
-    """A door gave up settling whether a job was stored."""
+    """A front end could not determine in time whether a job was stored."""
 
     job: str
     queue: str
@@ -119,7 +119,7 @@
 
 @event("job.unsettled")
 class JobUnsettled:
-    """The owner did not say whether it stored a job; the door goes on."""
+    """The owner did not say whether it stored a job; the front end goes on."""
 
     job: str
     owner: str
@@ -128,7 +128,7 @@
 
 @event("job.inbox")
 class JobInInbox:
-    """A door stored a job in the inbox, beside or instead of the owner."""
+    """A front end wrote a job to the inbox, in addition to or instead of the owner."""
 
     job: str
     outcome: str
@@ -143,7 +143,7 @@
 
 @event("job.withdrawn", essential=True)
 class JobWithdrawn:
-    """The owner gave a job back: no transaction with it was ever sent."""
+    """The owner dropped a job that it had never sent to the table."""
 
     job: str
     after_s: float
@@ -151,7 +151,7 @@
 
 @event("job.cancelled")
 class JobCancelled:
-    """A caller cancelled a job; `state` is what it is in now."""
+    """A caller cancelled a job; `state` is its resulting state."""
 
     job: str
     state: str
@@ -159,7 +159,7 @@
 
 @event("job.ended", essential=True)
 class JobEnded:
-    """A job became final; `late` tells whether it missed its objective."""
+    """A job reached a final state; `late` tells whether it missed its objective."""
 
     job: str
     queue: str
@@ -172,19 +172,19 @@
 
 @event("job.shown")
 class JobShown:
-    """The table has a job's final state: callers are told from now on."""
+    """The final state of a job was stored; it is now reported to callers."""
 
     job: str
     state: str
     after_end_s: float
 
 
-# --- permits and placing ---------------------------------------------------------
+# --- permits and placement -------------------------------------------------------
 
 
 @event("permits.had")
 class PermitsHad:
-    """The permit service answered for a step."""
+    """The permit service answered a request for a step."""
 
     step: str
     asked: int
@@ -196,7 +196,7 @@
 
 @event("permits.failed")
 class PermitsFailed:
-    """A call to the permit service had no answer."""
+    """A call to the permit service was not answered."""
 
     step: str
     via: str
@@ -205,7 +205,7 @@
 
 @event("workers.drawing")
 class WorkersDrawing:
-    """How many workers may be given work, and why the others may not."""
+    """How many workers may receive work, and why the others may not."""
 
     drawing: int
     obstacles: dict[str, int]
@@ -214,7 +214,7 @@
 
 @event("step.waiting")
 class StepWaiting:
-    """A step is left waiting; said once for each reason, and again while it lasts."""
+    """A step keeps waiting; logged once for each reason, and again while it lasts."""
 
     step: str
     reason: str
@@ -226,7 +226,7 @@
 
 @event("step.hopeless", essential=True)
 class StepHopeless:
-    """Every known worker is ruled out for a step now; it waits for others."""
+    """No known worker can run a step at present; it waits for others."""
 
     step: str
     reason: str
@@ -235,7 +235,7 @@
 
 @event("task.placed")
 class TaskPlaced:
-    """A task was given a worker; it is ordered once that is stored."""
+    """A task was placed on a worker; its start is sent once that is stored."""
 
     task: str
     attempt: int
@@ -246,7 +246,7 @@
 
 @event("task.started")
 class TaskStarted:
-    """A worker accepted an order to start."""
+    """A worker accepted a start."""
 
     task: str
     attempt: int
@@ -257,7 +257,7 @@
 
 @event("task.unanswered")
 class TaskUnanswered:
-    """An order to start had no answer; it is sent again unchanged."""
+    """A start was not answered; it is sent again unchanged."""
 
     task: str
     attempt: int
@@ -267,7 +267,7 @@
 
 @event("task.refused")
 class TaskRefused:
-    """A worker refused an order to start."""
+    """A worker refused a start."""
 
     task: str
     attempt: int
@@ -277,7 +277,7 @@
 
 @event("task.ended")
 class TaskEnded:
-    """A worker listed the end of an attempt."""
+    """A worker reported the end of an attempt."""
 
     task: str
     attempt: int
@@ -289,7 +289,7 @@
 
 @event("task.stopping")
 class TaskStopping:
-    """An attempt is to stop."""
+    """An attempt is being stopped."""
 
     task: str
     attempt: int
@@ -302,9 +302,9 @@
     """An attempt is proved not to run; its task waits again.
 
     Attributes:
-        reason: Why; of a lost worker also how it was lost.
-        began: Whether the worker said that it had begun.
-        survived_s: How long after that the worker was heard last.
+        reason: Why it was given up; for a lost worker also how it was lost.
+        began: Whether the worker had reported its start.
+        survived_s: How long after that start the worker was last heard from.
     """
 
     task: str
@@ -317,12 +317,12 @@
 
 @event("task.crashes_workers", essential=True)
 class TaskCrashesWorkers:
-    """A task is taken to crash its workers: its job is given up.
+    """A task is considered to crash its workers: its job fails.
 
     Attributes:
-        workers: Those that were lost under it, in any way.
-        crashes: At how many addresses it had only just begun, and nothing else
-            explained the loss.
+        workers: All workers that were lost while they ran it, for any reason.
+        crashes: At how many addresses the worker was lost just after the task had
+            started, with no other explanation for the loss.
     """
 
     task: str
@@ -335,7 +335,7 @@
 
 @event("owner.won", essential=True)
 class OwnerWon:
-    """This host holds the ownership now."""
+    """This host acquired the ownership."""
 
     epoch: int
     silent: bool
@@ -343,7 +343,7 @@
 
 @event("owner.took_over", essential=True)
 class OwnerTookOver:
-    """The owner has read everything; workers out of reach are waited for."""
+    """The owner has read all rows; it still waits for unreachable workers."""
 
     epoch: int
     jobs: int
@@ -363,21 +363,21 @@
 
 @event("owner.released", essential=True)
 class OwnerReleased:
-    """The owner handed the ownership over in order."""
+    """The owner released the ownership."""
 
     epoch: int
 
 
 @event("owner.gives_way", essential=True)
 class OwnerGivesWay:
-    """The owner hands over, since a host that can carry much more is live."""
+    """The owner hands over because a much stronger host is known."""
 
     epoch: int
 
 
 @event("owner.suspected", essential=True)
 class OwnerSuspected:
-    """The owner seen last is taken to be dead."""
+    """The last known owner is considered dead."""
 
     holder: str
     evidence: str
@@ -385,7 +385,7 @@
 
 @event("table.silent", essential=True)
 class TableSilent:
-    """A transaction has no answer; `down` tells whether new work is refused."""
+    """A transaction was not answered; `down` tells whether new jobs are refused."""
 
     reason: str
     down: bool
@@ -414,14 +414,14 @@
 
 @event("worker.answers")
 class WorkerAnswers:
-    """A worker answered, for the first time or again: it may draw work."""
+    """A worker answered, for the first time or again: it may receive work."""
 
     worker: str
 
 
 @event("worker.silent")
 class WorkerSilent:
-    """A worker does not answer; what runs there counts until its leases end."""
+    """A worker does not answer; its attempts are counted until their leases end."""
 
     worker: str
     tasks: int
@@ -430,7 +430,7 @@
 
 @event("worker.leaving")
 class WorkerLeaving:
-    """A worker says that it is leaving; it draws no more work."""
+    """A worker announced that it is leaving; it receives no more work."""
 
     worker: str
     tasks: int
@@ -446,7 +446,7 @@
 
 @event("worker.leases_over")
 class WorkerLeasesOver:
-    """Every lease at a silent worker is over; its tasks wait again."""
+    """All leases of a silent worker have expired; its tasks wait again."""
 
     worker: str
     tasks: int
@@ -454,7 +454,7 @@
 
 @event("worker.replaced")
 class WorkerIsReplaced:
-    """Another life answers at a worker's address; its tasks wait again."""
+    """A different worker answers at a worker's address; its tasks wait again."""
 
     worker: str
     tasks: int
@@ -462,7 +462,7 @@
 
 @event("worker.restarted")
 class WorkerRestarted:
-    """Another incarnation has a worker's identity; its list settles the last one's."""
+    """A new incarnation of a worker answers; its reply settles the old attempts."""
 
     worker: str
     before_ms: int
@@ -474,7 +474,7 @@
 
 @event("worker.settled")
 class RestartSettled:
-    """A restarted worker's first list told what of before is there; the rest waits."""
+    """A restarted worker's reply settled its old attempts; lost ones wait again."""
 
     worker: str
     found: int
@@ -483,7 +483,7 @@
 
 @event("worker.rests")
 class WorkerQuarantined:
-    """A worker failed what it started; it draws nothing for a while."""
+    """A worker failed several attempts; it receives no work for a while."""
 
     worker: str
     rest_s: float
@@ -491,7 +491,7 @@
 
 @event("worker.stands_still", essential=True)
 class WorkerStalled:
-    """Nothing moves on a worker that answers; what cannot wait leaves it."""
+    """A worker answers but makes no progress; attempts that cannot wait are stopped."""
 
     worker: str
     tasks: int
@@ -501,7 +501,7 @@
 
 @event("wave.seen", essential=True)
 class WaveSeen:
-    """The operator asked for a wave of upkeep."""
+    """The operator requested a wave of upkeep."""
 
     wave: int
     machines: int
@@ -509,7 +509,7 @@
 
 @event("wave.told", essential=True)
 class WaveStatusWritten:
-    """A wave's state was written for the operator."""
+    """The state of a wave was written for the operator."""
 
     wave: int
     state: str
@@ -517,7 +517,7 @@
 
 @event("upkeep.ordered")
 class UpkeepOrdered:
-    """A machine's upkeep was ordered."""
+    """The upkeep of a machine was ordered."""
 
     wave: int
     machine: str
@@ -526,7 +526,7 @@
 
 @event("task.throttled")
 class TaskThrottled:
-    """A filler was told to work at another share of its speed."""
+    """The share of its speed at which a filler may run was changed."""
 
     task: str
     attempt: int
@@ -540,7 +540,7 @@
 
 @event("config.taken", essential=True)
 class ConfigTaken:
-    """A newer configuration is in force; what its reading carried, and how long."""
+    """A newer configuration is in force; with the size and duration of its read."""
 
     version: int
     queues: int
@@ -551,7 +551,7 @@
 
 @event("config.unread", essential=True)
 class ConfigUnread:
-    """Readings of the configuration came to nothing; told at 1, 2, 4, 8 in a row."""
+    """Reads of the configuration failed; logged at 1, 2, 4, 8 failures in a row."""
 
     held: int
     in_a_row: int
@@ -561,21 +561,21 @@
 
 @event("config.unreadable", essential=True)
 class ConfigUnreadable:
-    """The configuration's row cannot be read; the last stays in force."""
+    """The configuration row cannot be decoded; the previous one stays in force."""
 
     findings: str
 
 
 @event("row.unreadable", essential=True)
 class RowUnreadable:
-    """A row of the table cannot be read; it is left as it is."""
+    """A row of the table cannot be decoded; it is left unchanged."""
 
     findings: str
 
 
 @event("host.readiness", essential=True)
 class HostReadiness:
-    """This host became ready, or not; how long ago it heard of what it needs for it."""
+    """The readiness of this host changed; with the ages of what it depends on."""
 
     ready: bool
     owner_s: float
@@ -592,7 +592,7 @@
 
 @event("process.started", essential=True)
 class ProcessStarted:
-    """The process listens."""
+    """The process accepts connections."""
 
     name: str
     data_centre: str
@@ -600,21 +600,21 @@
 
 @event("settings.reread", essential=True)
 class SettingsReread:
-    """The settings file was read again; addresses to listen on stay as they are."""
+    """The settings file was read again; listen addresses are not changed."""
 
     changed: tuple[str, ...]
 
 
 @event("settings.unreadable", essential=True)
 class SettingsUnreadable:
-    """The settings file cannot be read; the last settings stay in force."""
+    """The settings file cannot be read; the previous settings stay in force."""
 
     findings: str
 
 
 @event("log.left_out", essential=True)
 class LogLeftOut:
-    """Lines that were left out since the last such line, by event."""
+    """Log lines that were dropped since the last such event, by event."""
 
     lines: int
     by_event: dict[str, int]
--- a/cranberrycleat/explain.py
+++ b/cranberrycleat/explain.py
@@ -1,7 +1,7 @@
-"""Tells a job's story from logs, and the decision that cost it.
+"""Reconstructs the timeline of a job from logs, and finds the cause of a delay or loss.
 
-Reads JSON lines of any number of processes in any order, also behind prefixes
-such as a test bench's. Lines that are no events are passed over and counted.
+Reads JSON lines of any number of processes in any order, with or without line prefixes
+such as those of a test bench. Lines that are not events are skipped.
 """
 
 import bisect
@@ -16,7 +16,7 @@
 
 PREFIX_TIME_PARTS: Final = 3
 SLOW_STAGE_S: Final = 0.25
-"""A stage longer than this is worth naming: short work has 0.5 s to spare."""
+"""A stage longer than this counts as slow: short jobs have 0.5 s to spare."""
 EVENTS_BY_NAME: Final = {kind.name: cls for cls, kind in events.KINDS.items()}
 CONTEXT_EVENTS: Final = (
     events.OwnerWon,
@@ -29,9 +29,9 @@
     events.WorkerSilent,
     events.WorkerLeasesOver,
 )
-"""Events of no job that may be why a job waited."""
+"""Events that belong to no job but may explain why a job waited."""
 CONTEXT_WINDOW_S: Final = 2.0
-"""How long before a job's first entry they may lie."""
+"""How long before the first entry of a job such events are considered."""
 
 
 @attrs.frozen(kw_only=True)
@@ -39,8 +39,9 @@
     """One event of a log.
 
     Attributes:
-        at: Seconds, by the line's prefix if it has one, else since 1970.
-        host: Who logged it.
+        at: The time in seconds: from the prefix of the line if it has one, otherwise
+            since 1970.
+        host: The host that logged it.
         event: The typed event.
     """
 
@@ -49,7 +50,7 @@
     event: Any
 
     def text(self) -> str:
-        """Return the entry as one line."""
+        """Return the entry as a line of text."""
         name = events.KINDS[type(self.event)].name
         return (
             f"{self.at:14.4f} {self.host:26} {name:18} {codec.encode_text(self.event)}"
@@ -58,33 +59,33 @@
 
 @attrs.define(kw_only=True)
 class JobTimeline:
-    """A job's entries in order, and what else happened meanwhile."""
+    """The entries of a job in order, and context events of the same period."""
 
     job: str
     job_entries: list[Entry] = attrs.field(factory=list)
     context: list[Entry] = attrs.field(factory=list)
 
     def first(self, kind: type[Any]) -> Entry | None:
-        """Return the job's first entry of a kind of event."""
+        """Return the first entry of the job with a kind of event."""
         return next((e for e in self.job_entries if isinstance(e.event, kind)), None)
 
 
 @attrs.frozen(kw_only=True)
 class Cause:
-    """The decision that cost a job; `entry` is None where none was found."""
+    """The cause of a job's delay or loss; `entry` is None if no line explains it."""
 
     text: str
     entry: Entry | None = None
 
 
 def read_lines(lines: Iterable[str]) -> list[Entry]:
-    """Return every event among some lines, in the order of time."""
+    """Return all events among the lines, ordered by time."""
     found = [entry for line in lines if (entry := read_line(line)) is not None]
     return sorted(found, key=lambda entry: entry.at)
 
 
 def read_line(line: str) -> Entry | None:
-    """Return the event of a line, or None if it has none."""
+    """Return the event in a line, or None if there is none."""
     start = line.find("{")
     if start < 0:
         return None
@@ -107,20 +108,20 @@
 
 
 def job_of(event: Any) -> str:
-    """Return the job that an event is about; empty for none."""
+    """Return the ID of the job that an event belongs to; empty for none."""
     name: str = getattr(event, "job", "") or getattr(event, "task", "")
     name = name or getattr(event, "step", "")
     return name.partition(".")[0]
 
 
 def job_timeline(entries: list[Entry], job: str) -> JobTimeline:
-    """Return the entries of one job and of its time."""
+    """Return the timeline of one job."""
     matching = [timeline for timeline in job_timelines(entries) if timeline.job == job]
     return matching[0] if matching else JobTimeline(job=job)
 
 
 def job_timelines(entries: list[Entry]) -> list[JobTimeline]:
-    """Return the story of every job, in one pass over its own entries."""
+    """Return the timelines of all jobs, in one pass over the entries."""
     job_entries: dict[str, list[Entry]] = {}
     context: list[Entry] = []
     for entry in entries:
@@ -145,7 +146,7 @@
 
 
 def lost(timeline: JobTimeline) -> bool:
-    """Tell whether a job earned less than it could: refused, late, unfinished."""
+    """Return whether a job was refused, failed, late or unfinished."""
     ended = [e for e in timeline.job_entries if isinstance(e.event, events.JobEnded)]
     if not ended:
         return not any(
@@ -156,11 +157,12 @@
 
 
 def late(timeline: JobTimeline) -> bool:
-    """Tell whether an ended job missed its objective, by run times as they were.
+    """Return whether an ended job missed its objective, based on actual run times.
 
-    The objective is what the queue allows for the longest chain of work. Logs
-    do not tell which steps wait for which: they count one after the other. Logs
-    of before the queue's figures stood in them are judged by the estimates.
+    The objective is the time that the queue allows for the critical path. The logs do
+    not contain the dependencies between steps, so steps are assumed to run one after
+    the other. Older logs without the settings of the queue fall back to the `late` flag
+    of the event, which is based on estimates.
     """
     accepted = timeline.first(events.JobAccepted)
     shown = timeline.first(events.JobShown)
@@ -177,9 +179,10 @@
 
 
 def critical_path_s(timeline: JobTimeline) -> float:
-    """Return the run time of a job's longest tasks, step after step, in seconds.
+    """Return the sum of the longest task run times of all steps, in seconds.
 
-    Attempts that failed count, since a task's own fault is nobody's delay.
+    Failed attempts are included: time lost to a task's own failure is not a delay
+    caused by the system.
     """
     tasks: dict[str, float] = {}
     for entry in timeline.job_entries:
@@ -194,13 +197,13 @@
 
 
 def queue_of(timeline: JobTimeline) -> str:
-    """Return the queue that a job was handed in at; empty where no line tells."""
+    """Return the queue that a job was submitted to; empty if no line contains it."""
     names = (getattr(entry.event, "queue", "") for entry in timeline.job_entries)
     return next((name for name in names if name), "")
 
 
 def cause(timeline: JobTimeline) -> Cause:
-    """Return the decision that cost a job most."""
+    """Return the main cause of a job's delay or loss."""
     accepted = any(isinstance(e.event, events.JobStored) for e in timeline.job_entries)
     if not accepted:
         return _rejection_cause(timeline)
@@ -229,13 +232,13 @@
             case events.JobUnsettled(reason=reason):
                 return Cause(text=f"the owner gave no answer: {reason}", entry=entry)
             case events.JobInInbox() | events.JobAccepted():
-                return Cause(text="taken in, but nobody stored it", entry=entry)
-    return Cause(text="no line of it says why")
+                return Cause(text="accepted, but never stored", entry=entry)
+    return Cause(text="no log line explains it")
 
 
 @attrs.define(kw_only=True)
 class _Stage:
-    """A stage of an accepted job, with the time that it took too long."""
+    """A stage in the life of an accepted job, with its duration."""
 
     seconds: float
     text: str
@@ -261,7 +264,7 @@
 
 def _unfinished(timeline: JobTimeline) -> Cause:
     if not timeline.job_entries:
-        return Cause(text="no line of it says why")
+        return Cause(text="no log line explains it")
     last = timeline.job_entries[-1]
     return Cause(text="the logs end before it does; its last line", entry=last)
 
@@ -295,7 +298,7 @@
 
 
 def _wait_reason(timeline: JobTimeline, placed: Entry) -> str:
-    """Return the reason that was logged last before a task was placed."""
+    """Return the last waiting reason that was logged before a task was placed."""
     step = placed.event.task.rpartition(".")[0]
     reasons = [
         entry.event.reason
@@ -308,7 +311,7 @@
 
 
 def _gap_stages(timeline: JobTimeline) -> list[_Stage]:
-    """Return times without an owner or a table within the job's time."""
+    """Return gaps between entries of a job in which context events occurred."""
     stages: list[_Stage] = []
     for before, after in zip(
         timeline.job_entries, timeline.job_entries[1:], strict=False
--- a/cranberrycleat/jobs.py
+++ b/cranberrycleat/jobs.py
@@ -1,8 +1,8 @@
-"""Jobs and tasks: what an operator asks for, and what became of it.
+"""Jobs and tasks: the specification submitted by an operator, and the stored state.
 
-`JobSpec` is what a workload file holds; `parse_job` checks one and reports
-every fault at once. `JobRow` is the durable form: one row of the table for the
-part of a job that one shard is home to, with its tasks' records.
+`JobSpec` is the content of a workload file; `parse_job` validates one and reports all
+faults at once. `JobRow` is the stored form: one table row for the tasks of a job that
+are assigned to one shard, with their records.
 """
 
 import enum
@@ -25,7 +25,7 @@
 
 
 class Kind(enum.Enum):
-    """How a job's tasks belong together."""
+    """The type of a job, which determines how its tasks are scheduled together."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -33,14 +33,14 @@
 
 
 class PartitionPolicy(enum.Enum):
-    """What a job's tasks do when their data centre is cut off."""
+    """The behaviour of a job's tasks when their data centre is partitioned off."""
 
     KEEP = "keep"
     RELEASE = "release"
 
 
 class PreemptionMode(enum.Enum):
-    """How a task makes room for more urgent work."""
+    """How a task is preempted by more urgent work."""
 
     CHECKPOINT = "checkpoint"
     THROTTLE = "throttle"
@@ -49,7 +49,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How urgent a job is; the lower number goes first."""
+    """The priority of a job; lower numbers are scheduled first."""
 
     URGENT = 0
     NORMAL = 1
@@ -57,10 +57,10 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task stands.
+    """The state of a task.
 
-    PENDING waits for a place; PLACED has one, durably; DONE, FAILED and
-    CANCELLED are final; NEVER fits no worker there is.
+    PENDING waits for placement; PLACED has a stored placement; DONE, FAILED and
+    CANCELLED are final; NEVER fits on no known worker.
     """
 
     PENDING = "pending"
@@ -76,12 +76,12 @@
 
 @attrs.frozen(kw_only=True)
 class Program:
-    """What a task runs, passed to the worker as it is.
+    """The program of a task, passed to the worker unchanged.
 
     Attributes:
-        command: The program; the worker stand-in knows `serve` and `sleep`.
-        run_s: How long a finite program really runs, in seconds.
-        answer_ms: How long a service takes for one request, in milliseconds.
+        command: The program; the worker stand-in supports `serve` and `sleep`.
+        run_s: The actual run time of a finite program, in seconds.
+        answer_ms: The time that a service takes for one request, in milliseconds.
         fails: Whether the program fails when it ends.
     """
 
@@ -93,24 +93,24 @@
 
 @attrs.frozen(kw_only=True)
 class JobSpec:
-    """What an operator asks for.
+    """The specification of a job.
 
     Attributes:
-        name: The job's name, unique for ever.
+        name: The name of the job, which is never reused.
         kind: Service, batch or gang (all tasks start together).
-        team: Who it is counted against.
-        tasks: How many tasks.
-        processors: Processors a task needs; parts of one are allowed.
-        memory_mb: Memory a task needs, in mebibytes.
-        accelerators: Accelerators a task needs.
-        slots: For a service, requests a task answers at once.
-        selector: Which workers may run it.
+        team: The team whose usage it is charged to.
+        tasks: The number of tasks.
+        processors: The processors that a task needs; fractions are allowed.
+        memory_mb: The memory that a task needs, in mebibytes.
+        accelerators: The accelerators that a task needs.
+        slots: For a service, the number of requests that a task handles concurrently.
+        selector: The label selector for workers that may run it.
         priority: `urgent`, `normal` or `low`.
-        run_s: How long a task is expected to run, in seconds; 0 for unknown.
-        when_cut: What its tasks do when their data centre is cut off.
-        gives_way: How its tasks make room for more urgent work.
-        retries: How often a task that failed is started again.
-        program: What to run.
+        run_s: The expected run time of a task, in seconds; 0 for unknown.
+        when_cut: What its tasks do when their data centre is partitioned off.
+        gives_way: How its tasks are preempted by more urgent work.
+        retries: How often a failed task is restarted.
+        program: The program to run.
     """
 
     name: str
@@ -131,7 +131,7 @@
 
     @property
     def needs(self) -> Amounts:
-        """What one task needs, as declared."""
+        """The declared resource needs of one task."""
         return Amounts(
             processors=round(self.processors * MILLI),
             memory_mb=self.memory_mb,
@@ -141,12 +141,12 @@
 
     @property
     def rank(self) -> Priority:
-        """The priority as a number to sort by."""
+        """The priority as a number, for sorting."""
         return Priority[self.priority.upper()]
 
     @property
     def keeps(self) -> bool:
-        """Whether its tasks go on in a data centre that is cut off."""
+        """Whether its tasks keep running in a data centre that is partitioned off."""
         if self.when_cut is None:
             return self.kind is Kind.SERVICE
         return self.when_cut is PartitionPolicy.KEEP
@@ -154,16 +154,16 @@
 
 @attrs.define(kw_only=True)
 class TaskRecord:
-    """One task's durable record.
+    """The stored record of a task.
 
     Attributes:
-        index: Its number within the job.
-        state: Where it stands.
-        attempt: Grows by one at each start order.
-        worker: Where its current attempt runs, or an empty string.
-        failures: How many attempts failed by themselves.
-        crashes: How many attempts in a row were lost with a worker just after they
-            had begun; a worker that crashes tells of no failure.
+        index: Its index within the job.
+        state: Its state.
+        attempt: The attempt number; increases by one with every start order.
+        worker: The worker of its current attempt, or an empty string.
+        failures: The number of attempts that failed on their own.
+        crashes: The number of consecutive attempts that were lost with their worker
+            just after they had started; a crashed worker cannot report a failure.
     """
 
     index: int
@@ -176,14 +176,14 @@
 
 @attrs.define(kw_only=True)
 class JobRow:
-    """The durable record of the part of a job that one shard is home to.
+    """The stored record of the tasks of a job that are assigned to one shard.
 
     Attributes:
-        spec: What was asked for.
-        data_centre: The home of these tasks.
-        tasks: The records of the tasks that live here.
-        cancelled: An operator has cancelled it.
-        reasons: Why tasks wait or can never run, for people.
+        spec: The specification of the job.
+        data_centre: The data centre that these tasks are assigned to.
+        tasks: The records of these tasks.
+        cancelled: Whether an operator has cancelled the job.
+        reasons: Human-readable reasons why tasks wait or can never run.
     """
 
     spec: JobSpec
@@ -194,7 +194,7 @@
 
 
 class JobStatusValues:
-    """The words of a job's status that end it, and those that are bad."""
+    """The values in a job's status that are final, and those that mean failure."""
 
     ENDED: Final = frozenset(
         {each.value for each in FINAL_STATES} | {TaskState.NEVER.value}
@@ -235,15 +235,15 @@
 def structure(
     data: Any, kind: type[T], *, place: str
 ) -> Result[T, tuple[errors.Finding, ...]]:
-    """Build an object from decoded JSON or TOML, strictly.
+    """Build an object from decoded JSON or TOML with strict type checks.
 
     Args:
         data: The decoded value.
         kind: The attrs class to build.
-        place: What to call the input in findings.
+        place: The name of the input in findings.
 
     Returns:
-        The object, or every fault of shape and type.
+        The object, or all faults in structure and types.
     """
     if not isinstance(data, dict):
         found = errors.finding(place, errors.MALFORMED, reason="not an object")
@@ -255,10 +255,10 @@
 
 
 def unwrap(result: Result[T, tuple[errors.Finding, ...]]) -> T:
-    """Return what a check built.
+    """Return the object that a validation built.
 
     Raises:
-        FindingsError: The check found faults.
+        FindingsError: The validation found faults.
     """
     match result:
         case Success(value):
@@ -269,14 +269,14 @@
 
 
 def parse_job(data: Any, *, place: str) -> Result[JobSpec, tuple[errors.Finding, ...]]:
-    """Check a workload and build its spec.
+    """Validate a workload and build its specification.
 
     Args:
         data: The decoded JSON or TOML value.
-        place: What to call the input in findings, such as a file name.
+        place: The name of the input in findings, such as a file name.
 
     Returns:
-        The spec, or every fault found.
+        The specification, or all faults found.
     """
     match structure(data, JobSpec, place=place):
         case Success(spec):
--- a/cranberrycleat/log_sink.py
+++ b/cranberrycleat/log_sink.py
@@ -1,8 +1,8 @@
-"""Writes log lines without ever waiting for whoever reads them.
+"""Writes log lines without ever blocking on the reader.
 
-Lines gather for a moment and go out in one write. Where the reader does not
-keep up, lines wait up to a bound; past it the least important are left out and
-counted, and a line a second says how many of which kind.
+Lines are collected briefly and written in batches. If the reader does not keep up,
+lines are queued up to a limit; beyond it the least important ones are dropped and
+counted. Once the queue has been written, a line reports how many of which kind.
 """
 
 import asyncio
@@ -14,15 +14,16 @@
 import attrs
 
 FLUSH_DELAY_S: Final = 0.05
-"""Lines of this long share a write: at 300 lines a second one of 15 lines."""
+"""How long lines are collected: at 300 lines per second, a write has 15 lines."""
 RETRY_DELAY_S: Final = 0.1
 MAX_PENDING_BYTES: Final = 1024 * 1024
-"""What may wait for a reader; about ten seconds of a burst."""
+"""How many bytes may wait for the reader: about ten seconds of a burst."""
 MAX_WRITE_BYTES: Final = 4096
-"""A write of whole lines up to this size reaches a pipe in one piece, whoever else
-writes there (PIPE_BUF). Measured on the platform's bench: of a longer write only
-the first 8 KB are kept; 250 times on an incident of 45 hosts a line was cut and
-all behind it was lost."""
+"""A write of up to this size to a pipe is atomic, even with other writers (PIPE_BUF).
+
+On the platform's bench only the first 8 KB of a longer write were kept: in an incident
+with 45 hosts, a line was cut off 250 times, and everything after it was lost.
+"""
 REPORT_INTERVAL_S: Final = 1.0
 
 
@@ -35,14 +36,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class LogSink:
-    """A bounded queue of lines before a file descriptor.
+    """A bounded queue of lines in front of a file descriptor.
 
     Attributes:
-        fd: Where lines are written; it is made non-blocking.
-        report: Returns the line that tells what was left out.
-        most_bytes: How many bytes may wait.
-        left_out: What was left out since the last report, by name.
-        left_out_ever: How many lines were left out in all.
+        fd: The file descriptor to write to; it is made non-blocking.
+        report: Returns the line that reports the dropped lines.
+        max_pending_bytes: How many bytes may be queued.
+        dropped: The number of lines dropped since the last report, by event name.
+        dropped_total: The number of lines dropped since startup.
     """
 
     fd: int
@@ -60,7 +61,7 @@
         os.set_blocking(self.fd, False)
 
     def put(self, name: str, data: bytes, *, essential: bool) -> None:
-        """Take a line, or leave out one that matters less."""
+        """Queue a line, dropping less important lines if the queue is full."""
         self._bytes += len(data)
         (self._essential if essential else self._ordinary).append(
             _Line(name=name, data=data, essential=essential)
@@ -91,7 +92,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
+        """Write as much as the reader accepts without blocking."""
         while self._unsent or self._ordinary or self._essential:
             data = self._unsent or self._next_write()
             try:
@@ -101,7 +102,7 @@
                 self._retry()
                 return
             except OSError:
-                # Nobody reads any more: there is no one to tell.
+                # The reader is gone, so the pending lines cannot be written at all.
                 self._ordinary.clear()
                 self._essential.clear()
                 self._unsent = b""
@@ -121,7 +122,7 @@
         self._schedule(RETRY_DELAY_S)
 
     def _next_write(self) -> bytes:
-        """Take the next whole lines; what must not be lost goes first."""
+        """Remove and return the next whole lines, essential ones first."""
         first = (self._essential or self._ordinary)[0]
         if len(first.data) > MAX_WRITE_BYTES:
             (self._essential or self._ordinary).popleft()
--- a/cranberrycleat/logs.py
+++ b/cranberrycleat/logs.py
@@ -1,9 +1,9 @@
-"""Logging: events as JSON lines, and short sentences behind a part's prefix.
+"""Logging: typed events, and messages of the components' loggers.
 
 `emit` logs a typed event (see `events`); `part_logger` returns the logger of a
-part for everything else. In JSON form both go through one bounded sink to
-standard output, which never blocks the process; in text form, for people at a
-terminal, sentences and events go to standard error.
+component for everything else. In JSON form both are written to standard output through
+one bounded sink that never blocks the process. In text form, for people at a terminal,
+both are written to standard error.
 """
 
 import logging
@@ -20,12 +20,12 @@
 ROOT: Final = "cranberrycleat"
 EVENTS: Final[logging.Logger] = logging.getLogger(f"{ROOT}.events")
 MESSAGE: Final = "message"
-"""The event name of a sentence that is no typed event."""
+"""The event name of a log message that is not a typed event."""
 
 
 @attrs.frozen(kw_only=True)
 class LogLine:
-    """One sentence in JSON form; `time` in seconds since the epoch."""
+    """A log message in JSON form; `time` is in seconds since 1970."""
 
     time: float
     event: str
@@ -37,7 +37,7 @@
 
 @attrs.define(kw_only=True)
 class _State:
-    """Where this process logs to; set once at start."""
+    """The log destination of this process, set once at startup."""
 
     sink: LogSink | None = None
     host: str = ""
@@ -58,10 +58,10 @@
 
 
 class _SinkHandler(logging.Handler):
-    """Sends sentences to the sink as JSON lines."""
+    """Writes log messages to the sink as JSON lines."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Send one sentence."""
+        """Write one log message."""
         message = record.getMessage()
         if record.exc_info:
             message += "\n" + logging.Formatter().formatException(record.exc_info)
@@ -79,12 +79,12 @@
 
 
 def set_up(*, level: str, form: str, host: str = "") -> None:
-    """Send the project's logs out.
+    """Configure the log output of this process.
 
     Args:
         level: A level name of `logging`, in lower case.
         form: `text` or `json`.
-        host: This process's name, put on every JSON line.
+        host: The name of this process, added to every JSON line.
     """
     handler: logging.Handler
     _STATE.host = host
@@ -102,28 +102,28 @@
 
 
 def set_host_name(host: str) -> None:
-    """Set the name that every JSON line of this process carries."""
+    """Set the process name that is added to every JSON line."""
     _STATE.host = host
 
 
 def set_observer(observer: Callable[[Any], None] | None) -> None:
-    """Have every event also go to a function, as the metrics do."""
+    """Set a function that receives every event, such as the metrics; None for none."""
     _STATE.observer = observer
 
 
 def flush() -> None:
-    """Write what is waiting, as far as the reader takes it."""
+    """Write the pending lines, as far as the reader accepts them."""
     if _STATE.sink is not None:
         _STATE.sink.flush()
 
 
 def dropped_lines() -> int:
-    """Return how many lines were left out since the start."""
+    """Return how many lines were dropped since startup."""
     return 0 if _STATE.sink is None else _STATE.sink.dropped_total
 
 
 def part_logger(part: str) -> logging.Logger:
-    """Return the logger of one part."""
+    """Return the logger of a component."""
     return logging.getLogger(f"{ROOT}.{part}")
 
 
@@ -141,7 +141,7 @@
 
 
 def encode_event(event: Any, name: str, at: float, host: str) -> bytes:
-    """Return an event's line: its fields behind time, name and host."""
+    """Encode an event as a line: time, name and host, followed by its fields."""
     head = f'{{"time":{at:.4f},"event":"{name}","host":"{host}"'
     fields = codec.encode(event)
     separator = b"" if fields == b"{}" else b","
--- a/cranberrycleat/losses.py
+++ b/cranberrycleat/losses.py
@@ -1,6 +1,6 @@
-"""Sums up what was lost: how many jobs, by when they came, why, and where.
+"""Counts the jobs that were lost or late, by time window, cause and queue.
 
-Rests on `explain`, which judges one job; `cli_explain` prints the rows.
+Uses `explain`, which analyses a single job; `cli_explain` prints the rows.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 from cranberrycleat.explain import JobTimeline, cause, lost, queue_of
 
 WINDOW_S: Final = 2.0
-"""Long enough for some tens of jobs, short enough to show one fault alone."""
+"""Long enough to contain some tens of jobs, short enough to isolate a single fault."""
 WINDOW: Final = "window"
 CAUSE: Final = "cause"
 QUEUE: Final = "queue"
@@ -24,8 +24,8 @@
     """How many jobs were lost or late for one combination of keys.
 
     Attributes:
-        jobs: How many.
-        values: The keys' values, in the order of the keys asked for.
+        jobs: The number of jobs.
+        values: The values of the keys, in the order in which the keys were given.
     """
 
     jobs: int
@@ -34,13 +34,14 @@
 
 @attrs.frozen(kw_only=True)
 class Losses:
-    """Every job that was lost or late.
+    """A summary of the jobs that were lost or late.
 
     Attributes:
-        rows: Counts; by window in the order of time, else the largest first.
-        lost: How many jobs were lost or late.
-        jobs: How many jobs any line is about.
-        unexplained: How many of the lost no line explains.
+        rows: The counts, ordered by time if the first key is the window, otherwise
+            largest first.
+        lost: The number of jobs that were lost or late.
+        jobs: The number of jobs that appear in the logs.
+        unexplained: The number of lost or late jobs that no line explains.
     """
 
     rows: tuple[LossRow, ...]
@@ -53,8 +54,8 @@
     """Count the jobs that were lost or late.
 
     Args:
-        every: The jobs' stories.
-        by: Which of `KEYS` to count by.
+        timelines: The timelines of all jobs.
+        by: The keys to count by, out of `KEYS`.
     """
     counts: Counter[tuple[str, ...]] = Counter()
     jobs = unexplained = 0
@@ -82,5 +83,5 @@
 
 
 def _window_start(timeline: JobTimeline) -> str:
-    """Return the second at which the window of a job's first line begins."""
+    """Return the start of the time window of a job's first entry, in seconds."""
     return f"{timeline.job_entries[0].at // WINDOW_S * WINDOW_S:.0f}"
--- a/cranberrycleat/messages.py
+++ b/cranberrycleat/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the system's processes, and to the platform and workers.
+"""Messages between the processes of the system, and with the platform and workers.
 
-Every message is an attrs class that `codec` turns into JSON. Times are in
-seconds, on the clock that the field's text names; amounts as in `amounts`.
+Every message is an attrs class that `codec` encodes as JSON. Times are in seconds, on
+the clock named in the description of the field; resources are in units of `amounts`.
 """
 
 import enum
@@ -14,14 +14,14 @@
 
 
 class HostState(enum.Enum):
-    """What a host says, or the platform's list says, about a host."""
+    """The state of a host, as reported by the host or listed by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Outcome(enum.Enum):
-    """What a worker says about one attempt of a task."""
+    """The state of an attempt of a task, as reported by its worker."""
 
     RUNNING = "running"
     DONE = "done"
@@ -31,7 +31,7 @@
 
 
 class RenewScope(enum.Enum):
-    """Which of a worker's tasks an order renews the lease of."""
+    """The running tasks of a worker whose leases an order renews."""
 
     ALL = "all"
     KEEP = "keep"
@@ -43,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReadRequest:
-    """Asks the table for rows."""
+    """A request for rows of the table."""
 
     keys: tuple[str, ...]
 
@@ -57,15 +57,15 @@
 
 @attrs.frozen(kw_only=True)
 class HostEntry:
-    """One line of the platform's list of hosts, which lags.
+    """One entry of the platform's list of hosts, which may be out of date.
 
     Attributes:
-        name: The host's name.
-        url: Where its agent answers.
-        data_centre: Where it stands.
-        rack: The rack it stands in.
+        name: The name of the host.
+        url: The URL of its agent.
+        data_centre: The data centre it is in.
+        rack: The rack it is in.
         labels: Its labels.
-        capacity: What it has.
+        capacity: The resources it has.
         state: Live or leaving.
     """
 
@@ -87,7 +87,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformFaults:
-    """Sets the platform stand-in's faults (see `standins.table.TableFaults`)."""
+    """Faults to inject in the platform stand-in (see `standins.table.TableFaults`)."""
 
     down: bool = False
     slow_s: float = 0.0
@@ -99,7 +99,7 @@
 
 @attrs.frozen(kw_only=True)
 class StartOrder:
-    """Start one attempt of a task."""
+    """An order to start an attempt of a task."""
 
     task: str
     attempt: int
@@ -110,7 +110,7 @@
 
 @attrs.frozen(kw_only=True)
 class StopOrder:
-    """Stop one attempt of a task, or make it give way otherwise."""
+    """An order to stop an attempt of a task, or to preempt it in another way."""
 
     task: str
     attempt: int
@@ -119,7 +119,7 @@
 
 @attrs.frozen(kw_only=True)
 class AttemptRef:
-    """Names one attempt of a task."""
+    """A reference to an attempt of a task."""
 
     task: str
     attempt: int
@@ -127,20 +127,20 @@
 
 @attrs.frozen(kw_only=True)
 class SyncOrder:
-    """Everything an owner has to say to one worker at one moment.
+    """An owner's combined orders to a worker, and a request for its state.
 
     Attributes:
         holder: The owner.
-        epoch: Its epoch; the worker refuses one older than it has seen.
-        incarnation: The worker's incarnation that the order is for; empty in a
-            first order, which only asks.
-        not_after: The worker's clock time after which the order is void.
-        lease_s: The lease that renewed and started tasks get, from receipt.
-        scope: Which running tasks are renewed.
-        since: The worker's revision that the owner knows.
+        epoch: The owner's epoch; the worker refuses one older than it has seen.
+        incarnation: The worker incarnation that the order is for; empty in a first
+            order, which only requests the state.
+        not_after: The time on the worker's clock after which the order is void.
+        lease_s: The length of the lease that renewed and started tasks get on receipt.
+        scope: The running tasks whose leases are renewed.
+        since: The latest revision of the worker's state known to the owner.
         starts: Attempts to start.
         stops: Attempts to stop.
-        settled: Final outcomes the owner has made durable.
+        settled: Attempts whose final outcome the owner has stored.
     """
 
     holder: str
@@ -157,17 +157,17 @@
 
 @attrs.frozen(kw_only=True)
 class TaskReport:
-    """What a worker says about one attempt.
+    """A worker's report about an attempt.
 
     Attributes:
         task: The task.
-        attempt: The attempt.
-        outcome: Where it stands.
-        used: What it uses, as last measured.
-        url: Where it answers requests, for services.
+        attempt: The attempt number.
+        outcome: The state of the attempt.
+        used: The resources it uses, as last measured.
+        url: The URL at which it serves requests, for services.
         reason: Why it failed or was refused.
         run_s: How long it has run, in seconds.
-        throttled: Whether it runs with a part of its processors only.
+        throttled: Whether it is limited to a part of its processors.
     """
 
     task: str
@@ -182,14 +182,14 @@
 
 @attrs.frozen(kw_only=True)
 class SyncReply:
-    """A worker's answer.
+    """A worker's reply to a `SyncOrder`.
 
     Attributes:
         incarnation: Changes each time the worker starts.
-        clock: The worker's clock when it answered.
-        revision: Grows with each change of a task; ask from here next time.
+        clock: The time on the worker's clock when it replied.
+        revision: Increases with every change of a task; the `since` of the next order.
         state: Live or leaving.
-        tasks: The attempts that changed since the revision asked from.
+        tasks: The attempts that changed since the requested revision.
     """
 
     incarnation: str
@@ -204,16 +204,16 @@
 
 @attrs.frozen(kw_only=True)
 class InboxEntry:
-    """An accepted operator's change, waiting for the shard's owner.
+    """An accepted operator request that waits for the owner of the shard.
 
-    Exactly one of the fields but `id` is set.
+    Exactly one field besides `id` is set.
 
     Attributes:
-        id: Names the change.
-        submit: A job part to take on.
+        id: The ID of the request.
+        submit: A part of a job to run.
         cancel: A job to cancel.
         label: A worker to relabel.
-        declare_dead: A worker that an operator vouches is gone.
+        declare_dead: A worker that the operator asserts is gone.
     """
 
     id: str
@@ -225,7 +225,7 @@
 
 @attrs.frozen(kw_only=True)
 class JobPart:
-    """The tasks of a job that one shard is to be home to."""
+    """The tasks of a job that are assigned to one shard."""
 
     spec: JobSpec
     indices: tuple[int, ...]
@@ -241,7 +241,7 @@
 
 @attrs.frozen(kw_only=True)
 class NameRow:
-    """The row that makes a job's name unique and lists its homes."""
+    """The row that reserves the name of a job and lists its data centres."""
 
     submission: str
     data_centres: tuple[str, ...]
@@ -249,7 +249,7 @@
 
 @attrs.frozen(kw_only=True)
 class Accepted:
-    """The answer to an operator's change that the table has."""
+    """The reply to an operator request that has been stored."""
 
     id: str
     data_centres: tuple[str, ...]
@@ -257,7 +257,7 @@
 
 @attrs.frozen(kw_only=True)
 class TaskStatus:
-    """One task in a job's status."""
+    """The status of one task of a job."""
 
     index: int
     state: str
@@ -267,7 +267,7 @@
 
 @attrs.frozen(kw_only=True)
 class JobStatus:
-    """What became of a job."""
+    """The status of a job."""
 
     name: str
     kind: str
@@ -278,7 +278,7 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerStatus:
-    """One worker as its shard's owner knows it."""
+    """The status of a worker, as known to the owner of its shard."""
 
     name: str
     data_centre: str
@@ -303,14 +303,14 @@
 
 @attrs.frozen(kw_only=True)
 class Endpoint:
-    """One place that answers requests of a service.
+    """An endpoint of a service.
 
     Attributes:
-        service: The service's name.
-        url: Where it answers.
-        data_centre: Where it stands.
-        slots: Requests it answers at once.
-        leaving: Whether it is to get no new work.
+        service: The name of the service.
+        url: Its URL.
+        data_centre: The data centre it is in.
+        slots: The number of requests it handles concurrently.
+        leaving: Whether it must get no new requests.
     """
 
     service: str
@@ -322,12 +322,12 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointSet:
-    """The endpoints of one data centre, as its owner knows them.
+    """The endpoints of a data centre, as known to its owner.
 
     Attributes:
         data_centre: The data centre.
-        epoch: The owner's epoch.
-        revision: Grows with each change within the epoch.
+        epoch: The epoch of the owner.
+        revision: Increases with every change within an epoch.
         endpoints: The endpoints.
     """
 
@@ -339,7 +339,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointSetVersion:
-    """What a gateway knows already of one data centre's endpoints."""
+    """The version of a data centre's endpoint set that a gateway has."""
 
     data_centre: str
     epoch: int
@@ -351,9 +351,9 @@
     """One version of the configuration.
 
     Attributes:
-        version: Grows by one with each accepted change.
+        version: Increases by one with every accepted change.
         text: The document as JSON text.
-        change: Names the change, to settle a lost reply by.
+        change: The ID of the change, which resolves the outcome after a lost reply.
     """
 
     version: int
@@ -366,8 +366,8 @@
     """An operator's new configuration.
 
     Attributes:
-        made_from: The version that it was made from.
-        document: The whole new document, as JSON text.
+        made_from: The version that it is based on.
+        document: The complete new document, as JSON text.
     """
 
     made_from: int
@@ -376,17 +376,17 @@
 
 @attrs.frozen(kw_only=True)
 class Digest:
-    """What one process tells a peer about every second.
+    """The state that a process sends to its peers about once a second.
 
     Attributes:
-        sender: The sender's name.
+        sender: The name of the sender.
         incarnation: Changes each time the sender starts.
         role: `gateway` or `scheduler`.
-        data_centre: Where it stands.
+        data_centre: The data centre it is in.
         config_version: The highest configuration version it holds.
         leaving: URLs of endpoints that it knows to be leaving.
         draining: Whether the sender itself is shutting down.
-        seen: What it knows of each data centre's endpoints.
+        seen: The version it has of each data centre's endpoint set.
     """
 
     sender: str
@@ -401,7 +401,7 @@
 
 @attrs.frozen(kw_only=True)
 class Readiness:
-    """Whether a process takes new work, for the balancer."""
+    """Whether a process accepts new work, for the load balancer."""
 
     ready: bool
     reason: str = ""
@@ -409,7 +409,7 @@
 
 @attrs.frozen(kw_only=True)
 class SchedulerStatus:
-    """A scheduler in a few numbers."""
+    """A summary of the state of a scheduler."""
 
     name: str
     data_centre: str
@@ -424,7 +424,7 @@
 
 @attrs.frozen(kw_only=True)
 class DigestReply:
-    """The peer's own digest, and what the asker lacks."""
+    """The peer's own digest, with the newer state that the sender lacks."""
 
     digest: Digest
     sets: tuple[EndpointSet, ...] = ()
--- a/cranberrycleat/metrics.py
+++ b/cranberrycleat/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by OpenTelemetry, readable from each process.
+"""OpenTelemetry metrics, served by each process.
 
-Each process has one `Metrics`: counters and gauges by name, read as JSON at
-`/v1/metrics`. The reader is a plug-in, so that an exporter can take its place.
+Each process has one `Metrics` with counters, histograms and gauges by name, served as
+JSON at `/v1/metrics`. The reader is a plug-in, so that an exporter can replace it.
 """
 
 from collections.abc import Callable
@@ -17,22 +17,22 @@
 
 IN_MEMORY: Final = "in-memory"
 BUCKETS_S: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30)
-"""Bounds of the histograms' buckets, in seconds."""
+"""The bucket bounds of the histograms, in seconds."""
 
 
 @register(PluginKind.METRICS, IN_MEMORY)
 def in_memory_reader() -> InMemoryMetricReader:
-    """Return a reader that keeps what was measured until it is asked."""
+    """Return a reader that keeps the measurements in memory until they are read."""
     return InMemoryMetricReader()
 
 
 @attrs.define(kw_only=True, eq=False)
 class Metrics:
-    """One process's metrics.
+    """The metrics of one process.
 
     Attributes:
-        role: The process's role, put on every metric.
-        name: The process's name, put on every metric.
+        role: The role of the process, added to every metric.
+        name: The name of the process, added to every metric.
     """
 
     role: str
@@ -53,7 +53,7 @@
         )
 
     def count(self, name: str, number: int = 1, **labels: str) -> None:
-        """Add to a counter, with labels that tell its kinds apart."""
+        """Add to a counter, with labels that distinguish its series."""
         counter = self._counters.get(name)
         if counter is None:
             counter = self._meter().create_counter(f"cranberrycleat.{name}")
@@ -73,7 +73,7 @@
         histogram.record(seconds, labels)
 
     def add_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Have a gauge read by a function whenever the metrics are read."""
+        """Add a gauge whose value is returned by a function on every read."""
 
         def observe(_: CallbackOptions) -> list[Observation]:
             return [Observation(read())]
@@ -83,12 +83,12 @@
         )
 
     def read(self) -> bytes:
-        """Return every metric as JSON."""
+        """Return all metrics as JSON."""
         data = self._reader.get_metrics_data()
         return b"{}" if data is None else data.to_json(indent=None).encode()
 
     def text(self) -> str:
-        """Return every metric in the text form that scrapers read."""
+        """Return all metrics in the Prometheus text format."""
         data = self._reader.get_metrics_data()
         lines: list[str] = []
         for resource in () if data is None else data.resource_metrics:
--- a/cranberrycleat/selectors.py
+++ b/cranberrycleat/selectors.py
@@ -1,11 +1,11 @@
-"""Selectors: conditions on labels, by which operators choose workers.
+"""Label selectors, with which operators choose workers.
 
-Grammar, terms joined by commas, all of which must hold::
+A selector is a comma-separated list of terms, all of which must match::
 
     zone = a, tier != spot, disk in (ssd, nvme), arch not in (arm), gpu, !old
 
-A selector is parsed once and compared by value, so that the capacity book can
-keep one pool of matching workers for all jobs that use the same selector.
+Selectors are parsed once and compared by value, so that the worker inventory can
+keep a single pool of matching workers for all jobs with the same selector.
 """
 
 import re
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class In:
-    """The label's value is one of these, or none of them if negated."""
+    """The value of the label is one of a set, or none of them if negated."""
 
     key: str
     values: frozenset[str]
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Exists:
-    """The label is there, or is not if negated."""
+    """The label is present, or absent if negated."""
 
     key: str
     negated: bool = False
@@ -52,14 +52,14 @@
 
     Attributes:
         text: The text it was parsed from.
-        terms: The conditions, all of which must hold.
+        terms: The conditions, all of which must match.
     """
 
     text: str = attrs.field(eq=False, default="")
     terms: frozenset[Term] = frozenset()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether labels meet every term."""
+        """Return whether labels match every term."""
         return all(_holds(term, labels) for term in self.terms)
 
 
@@ -76,10 +76,10 @@
 
     Args:
         text: The selector; empty matches every worker.
-        place: What to call it in findings.
+        place: The name of the input in findings.
 
     Raises:
-        FindingsError: One finding for each term that is not well formed.
+        FindingsError: With one finding for each malformed term.
     """
     found = errors.Findings()
     terms = set()
--- a/cranberrycleat/workflow/access.py
+++ b/cranberrycleat/workflow/access.py
@@ -1,9 +1,10 @@
-"""Which workspace a caller acts for, by the configuration that a host holds.
+"""Authorizes callers by their API keys, using the configuration that a host holds.
 
-A key is known by its digest alone, so that no log, dump or message holds one. Each
-request is judged by itself. A host that may have missed a change says so, and neither
-runs what a key no longer allows nor denies a key that it may not have heard of;
-`config_watch` tells how old its configuration may be, the door (see `door`) asks here.
+Only digests of keys are kept, so that no log, dump or message contains a key. Every
+request is authorized separately. A host that may have missed a configuration change
+answers that it cannot decide: it neither accepts a key that may have been revoked nor
+denies a key that it may not know yet. `config_watch` bounds the age of the
+configuration; the front end (see `job_frontend`) calls this module for each request.
 """
 
 import hashlib
@@ -17,31 +18,33 @@
 from cranberrycleat.workflow.ports import ClusterConfig, Queue, Workspace
 
 REVOKED_KEY_MARGIN_S: Final = 1.0
-"""How long before the bound on revoked keys a host stops to trust what it holds: a
-table may keep changes from its feeds for so long."""
+"""How long before the bound on revoked keys a host stops trusting its configuration.
+
+The table may withhold changes from its feeds for this long.
+"""
 UNKNOWN_KEY_MARGIN_S: Final = 0.5
 LOGGED_DIGEST_DIGITS: Final = 8
-"""Digits of a digest that logs tell."""
+"""The number of digits of a digest that are logged."""
 
 
 def key_digest(key: str) -> str:
-    """Return a key's digest, in hexadecimal digits."""
+    """Return the digest of a key, in hexadecimal digits."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def may_see(*, caller: str, owner: str) -> bool:
-    """Tell whether a workspace's callers are told of a job; nobody's is told to all."""
+    """Return whether a caller may see a job; a job of no workspace is public."""
     return owner in ("", caller)
 
 
 @attrs.frozen(kw_only=True)
 class Granted:
-    """The request may be carried out.
+    """The request is authorized.
 
     Attributes:
-        workspace: For whom; empty where no key is needed.
-        digest: The digest of the key that it came with.
-        version: The configuration that it was judged by.
+        workspace: The workspace it acts for; empty where no key is needed.
+        digest: The digest of the key that was presented.
+        version: The version of the configuration that was used.
     """
 
     workspace: str = ""
@@ -51,29 +54,29 @@
 
 @attrs.frozen(kw_only=True)
 class Denied:
-    """No workspace has the key."""
+    """The request is denied: its key is missing or belongs to no workspace."""
 
     reason: str
 
 
 @attrs.frozen(kw_only=True)
 class Undecided:
-    """The configuration held here is too old to tell."""
+    """The configuration held by this host is too old to decide."""
 
     reason: str
 
 
 @attrs.define(kw_only=True, eq=False)
 class KeyAuthorizer:
-    """Judges requests by their keys.
+    """Authorizes requests by their keys.
 
     Attributes:
-        config: Tells the configuration in force here.
-        confirmed_at: Tells as of when it was known to be the newest.
-        clock: Counts suspended time.
-        config_bound_s: Within which time a new key is good everywhere.
-        revoke_bound_s: Within which time a revoked key is good nowhere; None: hosts
-            that are cut off are not bound.
+        config: Returns the configuration in force on this host.
+        confirmed_at: Returns the time as of which it was known to be the newest.
+        clock: A clock that also advances while the host is suspended.
+        config_bound_s: The time within which a new key is accepted on every host.
+        revoke_bound_s: The time within which a revoked key is rejected on every host;
+            None if partitioned hosts are exempt.
     """
 
     config: Callable[[], ClusterConfig | None]
@@ -86,11 +89,11 @@
     _quotas: dict[str, Amounts] = attrs.field(factory=dict)
 
     def authorize(self, queue: Queue, digest: str) -> Granted | Denied | Undecided:
-        """Judge a request to a queue by the digest of its key; empty: it has none.
+        """Authorize a request to a queue by the digest of its key; empty for no key.
 
-        A request is sent before it is judged. So it is sent within the bound on
-        revoked keys if the configuration is younger than that bound now, whatever
-        was changed since and however long the answer takes.
+        A request is sent before it is authorized. So if the configuration is younger
+        than the bound on revoked keys now, the request was sent within that bound of
+        any later revocation, however long the answer takes.
         """
         config = self.config()
         if config is None:
@@ -108,9 +111,9 @@
         return Granted(workspace=workspace.name, digest=digest, version=config.version)
 
     def still_grants(self, granted: Granted) -> bool:
-        """Tell whether another host's grant stands by the configuration held here.
+        """Return whether another host's grant is valid by this host's configuration.
 
-        One that was judged by the same version or a newer one is not judged again.
+        A grant based on the same or a newer version is not checked again.
         """
         config = self.config()
         if config is None or config.version <= granted.version or not granted.digest:
@@ -119,7 +122,7 @@
         return found is not None and found.name == granted.workspace
 
     def quotas(self) -> Mapping[str, Amounts] | None:
-        """Return each workspace's quota; None where a newer one may be in force."""
+        """Return the quota of each workspace; None if a newer one may be in force."""
         config = self.config()
         if config is None:
             return None
@@ -136,7 +139,7 @@
 
     def _find(self, config: ClusterConfig, digest: str) -> Workspace | None:
         self._index(config)
-        # The time of a look-up tells of digests only, which no caller can choose.
+        # The timing of the lookup reveals digests only, which callers cannot choose.
         return self._by_digest.get(digest)
 
     def _index(self, config: ClusterConfig) -> None:
@@ -149,5 +152,5 @@
             for workspace in workspaces
             for digest in workspace.key_digests
         }
-        # One that the configuration lacks keeps its last quota for what it still has.
+        # A removed workspace keeps its last quota for attempts that are still running.
         self._quotas |= {workspace.name: workspace.quota for workspace in workspaces}
--- a/cranberrycleat/workflow/candidacy.py
+++ b/cranberrycleat/workflow/candidacy.py
@@ -1,10 +1,10 @@
-"""Which host should be the owner where hosts are not alike.
+"""Prefers stronger hosts as the owner in deployments with unequal hosts.
 
-Answers deployments of uneven hosts: the owner calls every worker several times
-a second, and a host with half a core and a slow link cannot keep up with that,
-however many others stand idle. A lesser host leaves a free ownership to better
-ones for a moment, and an owner that hears of a much better host hands over.
-Nothing here is exclusive: whoever wins the conditional row is the owner.
+The owner calls every worker several times a second; a host with half a core and a slow
+link cannot keep up with that, no matter how many other hosts are idle. A weaker host
+therefore defers briefly to stronger ones when the lease is free, and an owner that
+learns of a much stronger host hands over. This is only a preference, not a lock:
+whichever host wins the conditional write of the owner's row is the owner.
 """
 
 from typing import Final
@@ -17,45 +17,57 @@
 from cranberrycleat.workflow.ports import HostResources
 
 LINK_MBPS_PER_CORE: Final = 25.0
-"""An owner at 300 starts a second takes 0.4 of a core (measured, one run of the
-grown haulbay-plu) and, at some 800 calls a second of 700 bytes, 5 Mbit/s (worked
-out); twice that in a burst."""
+"""The link speed that an owner needs for each core it uses.
+
+At 300 starts per second an owner used 0.4 of a core. By calculation, about 800 calls
+per second of 700 bytes need 5 Mbit/s, and twice that in a burst.
+"""
 MIN_STRENGTH_RATIO: Final = 1.5
-"""A host counts as better from this ratio on: like hosts differ by less."""
+"""The strength ratio from which a host counts as stronger; equals differ by less."""
 LEASE_DEFERRAL_S: Final = 0.6
-"""How long a lesser host leaves a free lease to better ones: two of their looks
-at the row, and the write."""
+"""How long a weaker host defers to stronger ones when the lease is free.
+
+Covers two of their polls of the owner's row, and the write.
+"""
 TAKEOVER_READ_TIMEOUT_S: Final = 1.5
-"""How long a lesser host may take to read the rows at a takeover. A large host reads
-3,000 jobs in 0.2 s; one of 5 Mbit/s was seen to read for 2 s, its link choked by
-callers, and nobody owned meanwhile. Where its renewals go through that does not end."""
+"""The time limit for a weaker host to read the rows at a takeover.
+
+A large host reads 3,000 jobs in 0.2 s. A host with a 5 Mbit/s link, saturated by
+callers, read for 2 s while nothing was scheduled. Without a limit this can go on
+indefinitely, as long as its lease renewals succeed.
+"""
 MIN_OWNERSHIP_S: Final = 2.0
-"""An owner settles for this long before it hands over to a better host."""
+"""The minimum time an owner keeps the ownership before it hands over."""
 MIN_HANDOVER_INTERVAL_S: Final = 15.0
-"""The pause between two hand-overs by one host: a better host that cannot win
-must not cost a takeover every few seconds."""
+"""The minimum time between two handovers by the same host.
+
+Prevents a takeover every few seconds if the stronger host cannot acquire the lease.
+"""
 PEER_MAX_AGE_S: Final = 1.0
-"""Only a host that was heard of this lately is handed over to."""
+"""Only hosts that sent a heartbeat within this time are considered for a handover."""
 
 MAX_FREQUENT_POLLERS: Final = 6
-"""So many hosts look at the owner's row often; the others follow if all of them
-are gone. Each look is a priced call: with 45 hosts all looks were 180 a second."""
+"""How many hosts poll the owner's row at the short interval.
+
+The others poll slowly and take over only if all of these are gone. Every poll is a
+billed call: with 45 hosts, polling at the short interval took 180 calls per second.
+"""
 SLOW_POLL_INTERVAL_S: Final = 1.0
 
 
 def strength(room: HostResources) -> float:
-    """Return how much owning a host can carry, in cores."""
+    """Return how much work of the owner a host can sustain, in cores."""
     return min(room.processors, room.link_mbps / LINK_MBPS_PER_CORE)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Candidacy:
-    """Decides when one host stands for the ownership, and when it gives way.
+    """Decides when a host competes for the ownership and when it hands over.
 
     Attributes:
-        own: This host's strength.
+        own: The strength of this host.
         members: The other hosts.
-        clock: A steady clock.
+        clock: A monotonic clock.
     """
 
     own: float
@@ -64,18 +76,18 @@
     _handed_over_at: float = float("-inf")
 
     def defer_s(self, last_owner_strength: float) -> float:
-        """Return how long to leave a free lease to others.
+        """Return how long to defer to other hosts when the lease is free.
 
         Args:
-            last_owner: The strength of the host that owned before; after a loss
-                of power it is all that is known of others.
+            last_owner_strength: The strength of the previous owner; after a power
+                failure nothing else is known about other hosts.
         """
         return (
             LEASE_DEFERRAL_S if self._knows_stronger_host(last_owner_strength) else 0.0
         )
 
     def _knows_stronger_host(self, last_owner_strength: float) -> bool:
-        """Tell whether there is, or was, a host that can carry much more."""
+        """Return whether a much stronger host is or was known."""
         now = self.clock.now()
         best = max(
             last_owner_strength, self.members.max_strength(now, self.members.expiry_s)
@@ -83,11 +95,12 @@
         return best >= MIN_STRENGTH_RATIO * self.own
 
     def takeover_read_timeout_s(self, recorded_strength: float) -> float | None:
-        """Return how long a takeover may take here; None: as long as it needs.
+        """Return the time limit for reading the rows at a takeover; None for no limit.
 
         Args:
-            believed: The strength that this host's own takeover left in the row. In
-                an outage hosts tell no strength, so that the row is what is known.
+            recorded_strength: The strength that this host's own takeover wrote to the
+                owner's row. Hosts do not report their strength during an outage, so the
+                row is the only source.
         """
         return (
             TAKEOVER_READ_TIMEOUT_S
@@ -96,13 +109,13 @@
         )
 
     def poll_interval_s(self, address: str, *, owner_answered_recently: bool) -> float:
-        """Return how often the host of an address looks at the owner's row.
+        """Return the interval at which this host polls the owner's row.
 
         Args:
             address: This host's address.
-            owner_heard: Whether an owner with authority was heard of lately;
-                without one every host looks often, since the first that sees
-                the table again is to own.
+            owner_answered_recently: Whether an owner with authority answered recently.
+                Without one every host polls at the short interval, so that the first
+                host to reach the table again becomes the owner.
         """
         if not owner_answered_recently:
             return options.LEASE_POLL_INTERVAL_S
@@ -119,7 +132,7 @@
         )
 
     def should_hand_over(self, owner_since: float) -> bool:
-        """Tell whether this host, an owner since a time, should hand over."""
+        """Return whether this host, the owner since `owner_since`, should hand over."""
         now = self.clock.now()
         if now - owner_since < MIN_OWNERSHIP_S:
             return False
@@ -131,5 +144,5 @@
         )
 
     def note_handover(self) -> None:
-        """Note that the ownership was handed over."""
+        """Record that the ownership was handed over."""
         self._handed_over_at = self.clock.now()
--- a/cranberrycleat/workflow/cluster_state.py
+++ b/cranberrycleat/workflow/cluster_state.py
@@ -1,8 +1,8 @@
-"""The owner's memory: every open job, every worker, and what joins them.
+"""The owner's in-memory state: jobs, workers and the placements of attempts on them.
 
-No network and no clock of its own. A change marks its job dirty; the owner
-stores dirty jobs and only then acts: orders a start, acknowledges an end,
-tells a caller (see `batches`).
+Does no I/O and has no clock of its own. A change marks its job dirty; the owner stores
+dirty jobs and only then acts on them: sends a start, acknowledges an end, reports to a
+caller (see `batches`).
 """
 
 import heapq
@@ -53,14 +53,14 @@
 )
 
 MAX_ENDS_PER_SYNC: Final = 500
-"""A worker lists this many ends at a time."""
+"""The maximum number of ended attempts in one reply of a worker."""
 MAX_REPORTED_SURVIVAL_S: Final = 999.0
-"""What a log says of an attempt that began before this owner took over."""
+"""The survival time logged for an attempt that began before this owner took over."""
 FULL_SPEED_PERCENT: Final = 100
-"""Percent at which a member of a service counts as at work."""
+"""The percentage from which a member of a service counts as running at full speed."""
 
 ReservedAttempt = tuple[FleetWorker, Placement]
-"""An attempt, and where it counts."""
+"""An attempt and the worker whose capacity is reserved for it."""
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -68,26 +68,30 @@
     """Jobs, workers and placements of one owner.
 
     Attributes:
-        time_of_day: Tells the time in seconds since 1970, without a host's jumps.
-        now: Tells the owner's clock.
-        jobs: Every job whose state callers may ask for, by identity.
+        time_of_day: Returns the time in seconds since 1970, unaffected by steps of the
+            host's clock.
+        now: Returns the time on the owner's clock.
+        jobs: Every job whose state callers may query, by ID.
         fleet: The workers.
-        permits: What is known of permits, by step name.
-        shares: What the permit service allowed of late, by queue.
-        waiting: Steps with tasks that wait for a place, by name.
-        shown: The stored state of each job: what callers are told.
+        permits: The permits known for each step, by step name.
+        permit_shares: The share of workers that the permit service recently allowed, by
+            queue.
+        waiting: Steps with tasks to be placed, by name.
+        reported: The stored state of each job, as reported to callers.
         dirty: Jobs with changes that are not stored.
-        inbox: Jobs whose row in the inbox is still to be removed.
-        placed: What counts on workers, by job and attempt.
-        unstarted: Open jobs without a schedule of which no worker is known to have
-            begun anything, by queue; kept as they change, since every digest tells
-            the numbers. A placement is no beginning: behind a cut nobody starts it.
-        ended: When each final job ended, since 1970, and its identity; a heap.
-        stops_due: Workers with attempts that were to end since the links were told.
-        losses: The record of workers that were lost under tasks.
-        quotas: What each workspace has on workers.
-        unreadable: Jobs whose rows another version wrote. What runs of them is
-            neither stopped nor acknowledged: whoever can read them decides.
+        inbox: IDs of jobs whose inbox row has not been deleted yet.
+        placed: Attempts with reserved capacity, by job and attempt.
+        unstarted: IDs of open jobs without a schedule of which no worker is known to
+            have started a task, by queue. Maintained incrementally because every
+            heartbeat reply has the queue lengths. A placement alone does not count as a
+            start: a worker behind a network partition may never receive it.
+        ended: The time at which each final job ended, since 1970, with its ID; a heap.
+        stops_due: Names of workers with attempts to stop, since they were last taken.
+        losses: The record of workers that were lost while they ran tasks.
+        quotas: The resources charged to each workspace.
+        unreadable: IDs of jobs whose rows were written by another version. Their
+            attempts are neither stopped nor acknowledged; that is left to an owner that
+            can read the rows.
     """
 
     time_of_day: Callable[[], float] = attrs.field(factory=lambda: WallClock().now_s)
@@ -125,16 +129,16 @@
         accepted_s: float | None = None,
         workspace: str = "",
     ) -> Job:
-        """Take in a job; a known identity changes nothing.
+        """Accept a job; a known ID is returned unchanged.
 
         Args:
-            job_id: The caller's identity for it.
-            queue: The queue it was handed in at.
+            job_id: The ID chosen by the caller.
+            queue: The queue it was submitted to.
             spec: The job.
-            accepted_s: When it was accepted, since 1970; None: now. What lay in
-                the inbox has used up a part of its objective there. Another host's
-                clock may be ahead: nothing was accepted after now.
-            workspace: Whose it is.
+            accepted_s: When it was accepted, since 1970; None for now. The time that a
+                job spent in the inbox counts against its objective. The clock of the
+                host that accepted it may be ahead, so later times are capped at now.
+            workspace: The workspace it belongs to.
         """
         known = self.jobs.get(job_id)
         if known is not None:
@@ -173,10 +177,10 @@
         return job
 
     def withdraw(self, job_id: str) -> bool:
-        """Forget a job that was never offered to the table.
+        """Remove a job that was never sent to the table.
 
         Returns:
-            Whether it is forgotten; else the table may have it.
+            Whether it was removed; otherwise the table may hold it.
         """
         job = self.jobs.get(job_id)
         if job is None or job.sent_to_table or job_id in self.inbox:
@@ -189,7 +193,7 @@
         return True
 
     def restore(self, job: Job) -> None:
-        """Take in a job that an earlier owner stored, maybe by a clock ahead."""
+        """Add a job that an earlier owner stored, whose clock may have been ahead."""
         job.accepted_s = min(job.accepted_s, self.time_of_day())
         self.jobs[job.job_id] = job
         self.reported[job.job_id] = job.state()
@@ -220,14 +224,14 @@
             self.open_due_occurrences(self.jobs[job_id])
 
     def next_due_s(self) -> float | None:
-        """Return when the next occurrence is due, since 1970; None: none is."""
+        """Return when the next occurrence is due, since 1970; None if there is none."""
         due_times = [
             self.jobs[each].next_occurrence_due_s() for each in self._scheduled
         ]
         return min((each for each in due_times if each is not None), default=None)
 
     def cancel(self, job_id: str) -> Job | None:
-        """Cancel a job; one that is final stays as it is."""
+        """Cancel a job; a final job is left unchanged."""
         job = self.jobs.get(job_id)
         if job is not None and job.verdict is None:
             self._finish_job(job, JobState.CANCELLED)
@@ -235,7 +239,7 @@
 
     def _finish_job(self, job: Job, verdict: JobState) -> None:
         if job.ended_s:
-            # What was placed of it is over; that it has ended is known.
+            # Already final: this is the end of one of its remaining attempts.
             return
         job.verdict = verdict
         job.ended_s = self.time_of_day()
@@ -263,7 +267,7 @@
         )
 
     def _remove_waiting_steps(self, job: Job) -> None:
-        """Nothing of a job waits for a place any more."""
+        """Remove all steps of a job from those waiting for placement."""
         for occurrence in job.open.values():
             for step in occurrence.steps:
                 self._remove_waiting_step(step)
@@ -276,7 +280,7 @@
         self.permits.pop(step.name, None)
 
     def permits_of(self, step: StepRun) -> StepPermits | None:
-        """Return what is known of a step's permits; None where it needs none."""
+        """Return the permits known for a step; None if its queue needs no permits."""
         queue = step.job.queue
         if queue.permits is None:
             return None
@@ -288,19 +292,19 @@
         return found
 
     def permit_refused(self, worker: FleetWorker, placement: Placement) -> None:
-        """A worker refused the permit that an attempt was to start with."""
+        """Record that a worker refused the permit of an attempt."""
         task = placement.tracked_task
         permits = None if task is None else self.permits.get(task.step.name)
         if permits is not None:
             permits.refused(worker.name)
 
     def is_over_quota(self, placement: Placement) -> bool:
-        """Tell whether an attempt's workspace has more than its quota allows."""
+        """Return whether the workspace of an attempt exceeds its quota."""
         task = placement.tracked_task
         return task is not None and self.quotas.is_over(task.step.job.workspace)
 
     def placements_of(self, job_id: str) -> tuple[ReservedAttempt, ...]:
-        """Return everything of a job that counts on a worker."""
+        """Return all attempts of a job that hold capacity on a worker."""
         return tuple(self.placed.get(job_id, {}).values())
 
     def _reserve(self, worker: FleetWorker, placement: Placement) -> None:
@@ -341,7 +345,7 @@
         self.unstarted.get(job.queue.name, set()).discard(job.job_id)
 
     def queue_length(self, queue: str) -> int:
-        """Return how many accepted jobs of a queue have started nothing."""
+        """Return the number of accepted jobs of a queue with no started task."""
         return len(self.unstarted.get(queue, ()))
 
     # --- placements ---------------------------------------------------------
@@ -349,7 +353,7 @@
     def place(
         self, task: Task, worker: FleetWorker, attempt: int, *, now: float
     ) -> Placement:
-        """Count a task on a worker; it is ordered once this is stored."""
+        """Place a task on a worker; its start is sent once the placement is stored."""
         job = task.step.job
         job.place(task, worker.name, attempt)
         placement = Placement(
@@ -375,7 +379,7 @@
         return placement
 
     def adopt(self, now: float) -> None:
-        """Count every placement that an earlier owner stored."""
+        """Reserve capacity for every placement that an earlier owner stored."""
         for job in self.jobs.values():
             for left in job.left:
                 self._adopt_orphaned_attempt(left, now)
@@ -393,21 +397,23 @@
         self._reserve(self._worker_of(task.worker, placement.needs), placement)
 
     def _adopt_orphaned_attempt(self, left: OrphanedAttempt, now: float) -> None:
-        """Count and stop what an earlier owner had not heard to be over."""
+        """Reserve capacity for a stored orphaned attempt, and stop it."""
         placement = adopted_placement(left.task, left.attempt, left.needs, None, now)
         worker = self._worker_of(left.worker, left.needs)
         self._reserve(worker, placement)
-        self.stop(worker, placement, "its owner died before it was heard to end")
+        self.stop(
+            worker, placement, "its end was not reported to the owner that placed it"
+        )
 
     def _worker_of(self, name: str, needs: Amounts) -> FleetWorker:
-        """Return the incarnation that an earlier owner placed work on."""
+        """Return the worker incarnation that an earlier owner placed work on."""
         return self.fleet.workers.get(name) or self._add_unlisted_worker(name, needs)
 
     def _add_unlisted_worker(self, name: str, needs: Amounts) -> FleetWorker:
-        """Take in an incarnation that the platform does not list.
+        """Add an incarnation that the platform does not list.
 
-        If it lists a later one, that one's first list tells what became of the work;
-        if an earlier one, the platform's list is behind.
+        If the platform lists a later incarnation, the first reply of that one says what
+        became of the work. If it lists an earlier one, the platform's list is behind.
         """
         identity = identity_of(name)
         born_ms = int(name.removeprefix(identity).removeprefix("@") or 0)
@@ -437,7 +443,7 @@
     def move(
         self, previous: FleetWorker, worker: FleetWorker, placement: Placement
     ) -> None:
-        """An attempt was carried out by a later incarnation than it was placed on."""
+        """Move an attempt to a later incarnation of its worker, which started it."""
         self._unreserve(previous, placement)
         self._reserve(worker, placement)
         placement.ordered = True
@@ -449,7 +455,7 @@
             self._mark_dirty(task.step.job)
 
     def give_up(self, worker: FleetWorker, placement: Placement, reason: str) -> None:
-        """An attempt is proved not to run: its task waits again."""
+        """Give up an attempt that is proved not to run; its task waits again."""
         self._unreserve(worker, placement)
         emit(
             events.TaskGivenUp(
@@ -472,20 +478,20 @@
             self._after_end(job, task.step)
 
     def stop(self, worker: FleetWorker, placement: Placement, reason: str) -> None:
-        """Note that an attempt is to end, and on which worker stops are due."""
+        """Mark an attempt to be stopped, and its worker as having a stop due."""
         placement.stop(reason)
         self.stops_due.add(worker.name)
 
     def take_stops_due(self) -> set[str]:
-        """Return the workers on which stops became due since this was asked last."""
+        """Return and clear the names of the workers on which stops became due."""
         due, self.stops_due = self.stops_due, set()
         return due
 
     def give_up_all(self, worker: FleetWorker, loss: LossCause) -> int:
-        """Nothing can run there any more: give up all; return how many."""
+        """Give up all attempts on a lost worker; return how many there were."""
         placements = list(worker.placements.values())
         if not placements:
-            # Asked at each look at a silent worker, for as long as it is silent.
+            # Called on every check of a silent worker, for as long as it is silent.
             return 0
         correlated = self.fleet.failures_correlated_with(worker)
         for placement in placements:
@@ -496,21 +502,21 @@
 
     @staticmethod
     def _fail_job(placement: Placement) -> None:
-        """Have the job of an attempt fail as soon as that is given up."""
+        """Set the job of an attempt to fail once the attempt is given up."""
         assert placement.tracked_task is not None
         placement.tracked_task.step.job.verdict = JobState.FAILED
 
-    # --- what workers say -----------------------------------------------------
+    # --- replies of workers ---------------------------------------------------
 
     def note_begun(self, placement: Placement) -> None:
-        """A worker said that it began an attempt: its job waits no longer."""
+        """Record that a worker started an attempt: its job is no longer unstarted."""
         if placement.tracked_task is not None:
             self._untrack_unstarted(placement.tracked_task.step.job)
 
     def sync(
         self, worker: FleetWorker, reply: SyncReply, *, sent_at: float, now: float
     ) -> list[EndedTask]:
-        """Take in a worker's lists; return the ends that are new."""
+        """Apply a worker's reply; return the ends that were not known before."""
         worker.update_clock(reply.worker_time_ms, now)
         fresh = [end for end in reply.ended if end.number > worker.heard_upto]
         for end in fresh:
@@ -539,7 +545,7 @@
             task.step.job.note_saved(task, run.saved)
 
     def _add_orphaned_attempt(self, worker: FleetWorker, run: RunningTask) -> Placement:
-        """Count an attempt that no job wants, until it has been stopped."""
+        """Reserve capacity for an orphaned attempt on a worker, until it is stopped."""
         job_id = job_of(run.task)
         job = self.jobs.get(job_id)
         task = None if job is None else job.find(run.task)
@@ -552,7 +558,7 @@
             stored=True,
             ordered=True,
             stopping=job_id not in self.unreadable,
-            stop_reason="unknown attempt",
+            stop_reason="orphaned attempt",
         )
         self._reserve(worker, placement)
         return placement
@@ -560,7 +566,7 @@
     def _give_up_missing(
         self, worker: FleetWorker, listed: dict[AttemptKey, RunningTask], sent_at: float
     ) -> None:
-        """What ran before the question was sent and is in no list is over."""
+        """Give up attempts that ran before the request was sent but are not listed."""
         for key, placement in list(worker.placements.items()):
             if key in listed or not placement.running:
                 continue
@@ -604,7 +610,7 @@
         self._after_end(job, task.step)
 
     def _delay_retry(self, task: Task, now: float) -> None:
-        """Note when a task whose attempt failed may be tried again."""
+        """Set when a task may be retried after a failed attempt."""
         step = task.step
         task.not_before = now + retry_delay_s(
             failures=step.gang_failures if step.spec.gang else task.failures,
@@ -614,17 +620,16 @@
         )
 
     def _stop_later_attempts(self, task: Task) -> None:
-        """An attempt that was given up was done: its task must not run again.
+        """Stop the later attempts of a task because a given-up attempt completed it.
 
-        Its worker could not be reached until its leases were over, so that the
-        end was not known when the task was placed anew, or an earlier owner had
-        given it up.
+        The worker of that attempt was unreachable until its leases had expired, so the
+        task was placed again before its end was known, or an earlier owner gave it up.
         """
         members = task.step.tasks if task.step.spec.gang else [task]
         names = {member.name for member in members}
         for worker, placement in self.placements_of(task.step.job.job_id):
             if placement.task in names:
-                self.stop(worker, placement, "an earlier attempt was done")
+                self.stop(worker, placement, "an earlier attempt completed the task")
 
     def _update_worker_health(
         self, worker: FleetWorker, end: EndedTask, now: float
@@ -646,15 +651,15 @@
         self._enqueue_ready_steps(job)
 
     def _stop_incomplete_gang(self, step: StepRun) -> None:
-        """A gang that lost a member stops, so that all can start together."""
+        """Stop the rest of a gang that lost a member, so that all restart together."""
         if all(task.state is not TaskState.PENDING for task in step.tasks):
             return
         for worker, placement in self._current_attempts(step):
             if not placement.stopping:
-                self.stop(worker, placement, "gang lost a member")
+                self.stop(worker, placement, "a member of its gang was lost")
 
     def _current_attempts(self, step: StepRun) -> Iterator[ReservedAttempt]:
-        """Yield the current attempts of a step, and where they count."""
+        """Yield the current attempts of a step with their workers."""
         for task in step.tasks:
             worker = self.fleet.workers.get(task.worker)
             if worker is None:
@@ -664,11 +669,12 @@
                 yield worker, placement
 
     def stop_blocked_gangs(self, silent: FleetWorker) -> bool:
-        """Stop the members that wait for one on a silent worker; tell if any did.
+        """Stop gang members that wait for one on a silent worker; return if any were.
 
-        Until its leases are over nothing of it can be placed anew; the others would
-        hold their room, and give up alone. A gang that is at work ends by itself if
-        the member is lost, and goes on if only its worker cannot be reached.
+        The silent member cannot be placed again until its leases have expired; the
+        others would meanwhile hold their capacity, and then give up on their own. A
+        gang that has made progress is left alone: it ends by itself if the member is
+        lost, and continues if only its worker is unreachable.
         """
         stopped = False
         for member in list(silent.placements.values()):
@@ -680,6 +686,6 @@
                 continue
             for worker, placement in members:
                 if worker.liveness is Liveness.LIVE and not placement.stopping:
-                    self.stop(worker, placement, "a member's worker has fallen silent")
+                    self.stop(worker, placement, "a member's worker is silent")
                     stopped = True
         return stopped
--- a/cranberrycleat/workflow/inbox.py
+++ b/cranberrycleat/workflow/inbox.py
@@ -1,8 +1,8 @@
-"""The owner's side of the inbox: jobs that doors stored themselves.
+"""The owner's side of the inbox: jobs that front ends stored themselves.
 
-A door leaves a job there when no owner answers in time. The owner takes it in
-with the time of its acceptance, and removes the row once the job has rows of its
-own; until then the job is found again by whoever owns next.
+A front end stores a job in the inbox when no owner answers in time. The owner accepts
+the job with its original acceptance time and deletes the inbox row once the job has
+rows of its own; until then, the next owner finds the job there again.
 """
 
 import asyncio
@@ -21,21 +21,24 @@
 from cranberrycleat.workflow.ports import FeedTable
 
 RESCAN_INTERVAL_S: Final = 0.1
-"""The pause after a look that found jobs. Where owners change, doors leave jobs
-before they know whom to tell; the next owner finds the first, and others follow."""
+"""The pause after a scan that found jobs.
+
+While the ownership changes, front ends store jobs without knowing which owner to
+notify; once the new owner has found the first of them, more are likely to follow.
+"""
 
 LOG: Final[logging.Logger] = part_logger("inbox")
 
 
 @attrs.define(kw_only=True, eq=False)
 class Inbox:
-    """Takes in what doors left, and clears it away.
+    """Accepts jobs from the inbox and deletes their inbox rows.
 
     Attributes:
-        board: The owner's memory.
+        cluster_state: The owner's in-memory state.
         store: The platform's table.
-        changed: Told when the board has changed.
-        due: Set when a door has left a job.
+        changed: Called when the cluster state has changed.
+        scan_requested: Set when a front end reports that it stored a job.
     """
 
     cluster_state: ClusterState
@@ -44,12 +47,12 @@
     scan_requested: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def run(self) -> None:
-        """Look when told, and now and then."""
+        """Scan the inbox on request, and periodically."""
         while True:
             try:
                 found = await self._scan()
             except errors.TableUnavailable as exc:
-                LOG.debug("The inbox was not read: %s", exc)
+                LOG.debug("could not read the inbox: %s", exc)
                 await asyncio.sleep(options.INBOX_POLL_INTERVAL_S)
                 continue
             with contextlib.suppress(TimeoutError):
@@ -60,7 +63,7 @@
             self.scan_requested.clear()
 
     async def _scan(self) -> bool:
-        """Take in what is new; return whether anything was."""
+        """Accept the jobs that are new; return whether there were any."""
         await self._delete_stored()
         found = await self.store.scan(prefix=f"{rows.INBOX}/")
         known = self.cluster_state.inbox
@@ -71,7 +74,7 @@
         return bool(new_rows)
 
     async def _delete_stored(self) -> None:
-        """Remove the rows of jobs that have been stored as jobs."""
+        """Delete the inbox rows of jobs that have rows of their own."""
         stored = [
             each
             for each in self.cluster_state.inbox
@@ -85,7 +88,7 @@
         self.cluster_state.inbox.difference_update(batch)
 
     def accept_rows(self, found: tuple[Row, ...]) -> None:
-        """Take in jobs; a row that cannot be read is logged with its place."""
+        """Accept jobs; rows that cannot be decoded are logged with their keys."""
         for row in found:
             job_id = row.key.partition("/")[2]
             try:
--- a/cranberrycleat/workflow/owner.py
+++ b/cranberrycleat/workflow/owner.py
@@ -1,8 +1,9 @@
-"""The owner: one process that decides for all workers while it holds the lease.
+"""The owner: the elected process that schedules all workers while it holds the lease.
 
-`run` takes over (reads the rows, counts what is placed, asks the workers) and
-then keeps four things going: storing what the board changed, planning, the
-list of workers, and a link to each worker. It ends when the lease is lost.
+`Owner.run` takes over (reads the stored rows, reserves the capacity of placed attempts
+and contacts the workers) and then runs these background loops until the lease is lost:
+storing changes of the cluster state, planning, refreshing the list of workers, reading
+the inbox, periodic checks, and one link per worker.
 """
 
 import asyncio
@@ -62,53 +63,62 @@
 TABLE_UNAVAILABLE_REASON: Final = "the table does not answer"
 HANDOVER_TIMEOUT_S: Final = 2.0
 HANDOVER_STORE_LIMIT_S: Final = 0.3
-"""How long an owner that hands over goes on storing what comes in: some thirty
-transactions of a calm store, one of a store that is slowed 60 times. There it never
-came to an end within 2 s; the lease, 2.9 s long there, had to run out, and nobody
-owned for 4.3 s while a burst was on."""
+"""How long an owner that hands over keeps storing new changes.
+
+Enough for about thirty transactions of a table at normal speed, or one of a table that
+is 60 times slower. On such a slow table, waiting until every change was stored did not
+finish within 2 s: the lease (2.9 s there) had to expire, and there was no owner for
+4.3 s during a burst of submissions.
+"""
 TABLE_DOWN_AFTER_S: Final = 0.8
-"""A table that left a transaction unanswered for so long counts as down."""
+"""The table counts as down once a transaction has been unanswered for this long."""
 CHANGE_LIMIT_S: Final = 0.7
-"""How long a caller's change may take to be stored before nobody waits for it."""
-
-
+"""How long a caller's submission or cancellation waits to be stored."""
 WORKER_REPORT_INTERVAL_S: Final = 5.0
 END_STORED_TIMEOUT_S: Final = 0.12
-"""How long a question waits for an end that is being stored. That takes 0.03 s in a
-calm table; a door waits 0.2 s for the owner before it reads the table itself."""
+"""How long a state query waits for the end of a job that is being stored.
+
+Storing takes 0.03 s with the table at normal speed; a front end waits 0.2 s for the
+owner before it reads the table itself.
+"""
 
 
 class TakeoverTimeout(Exception):
-    """A host could not read the rows in the time that it had; nothing was decided."""
+    """The stored rows were not read within the time limit; nothing was scheduled."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Owner:
-    """Decides for all workers.
+    """Schedules jobs on all workers.
 
     Attributes:
-        lease: The ownership lease, held.
+        lease: The ownership lease, already acquired.
         store: The platform's table.
         directory: Reads the list of workers.
-        client: Speaks to workers.
-        permit_queue: Asks for permits.
-        clock: Counts suspended time.
-        leases: How leases at workers are counted.
-        status_s: How long an ended job's state is kept.
+        client: Sends requests to workers.
+        permit_queue: Requests permits.
+        clock: A clock that also advances while the host is suspended.
+        leases: The length and the bounds of the leases granted to workers.
+        status_s: How long the state of an ended job is kept.
         peers: The other hosts of the system.
-        spread_factor: How much longer tasks take away from their data.
-        reading_limit_s: How long reading the rows may take at a takeover; None
-            where no other host could do it better.
-        batch_bytes: How many bytes of values one transaction holds.
-        director: Carries out upkeep waves, where there are machines.
-        pools: Tells which services the configuration names; None without one.
-        access: Judges again what other hosts granted; None: nothing needs a key.
-        ready: Set once the rows were read.
-        store_answers: Whether the table answered of late.
-        closing: Whether the ownership is being handed over.
-        began_at: When it had taken over, on its clock.
-        list_settled_at: From when the list of workers can be believed to be whole;
-            before, what none of them holds is not known to be hopeless.
+        spread_factor: The factor by which tasks run longer away from their data.
+        takeover_read_timeout_s: The time limit for reading the rows at a takeover; None
+            if no stronger host is known.
+        batch_bytes: The maximum size of the values in one transaction.
+        director: Carries out upkeep waves; None where there are no machines.
+        pools: Returns the pools named in the configuration; None without one.
+        access: Rechecks what other hosts granted; None if no request needs a key.
+        cluster_state: All jobs, workers and placements.
+        links: The link to each worker, by the worker's name.
+        ready: Set when the takeover is complete.
+        store_answers: Whether the table is reachable.
+        handing_over: Whether the ownership is being handed over.
+        took_over_at: When the takeover was complete, on the owner's clock.
+        worker_list_settled_at: When the list of workers can be assumed to be complete;
+            until then, a job that fits no listed worker may still become feasible.
+        inbox: Accepts jobs that front ends stored themselves.
+        roster: Keeps the workers in step with the platform's list.
+        dispatcher: Plans placements and starts stored ones.
     """
 
     lease: OwnershipLease
@@ -178,18 +188,18 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch, which fences every order."""
+        """The epoch of this ownership; every order to a worker is fenced by it."""
         return self.lease.epoch
 
     def may_order(self) -> bool:
-        """Tell whether orders may be given at this very moment."""
+        """Return whether the owner currently has the authority to send orders."""
         return not self.handing_over and self.lease.is_valid()
 
     def may_renew(self) -> bool:
-        """Tell whether leases of what runs may be renewed.
+        """Return whether the leases of running attempts may be renewed.
 
-        Beyond the ownership lease this goes on for a bounded time, so that
-        work outlives a short outage of the store.
+        Renewal continues for a bounded time after the ownership lease has expired, so
+        that running work survives a short outage of the table.
         """
         if self.handing_over or not self.lease.is_holder:
             return False
@@ -197,32 +207,34 @@
         return self.clock.now() < until
 
     def fenced(self) -> None:
-        """A worker has seen a later owner."""
-        emit(events.OwnerLost(epoch=self.epoch, reason="a worker saw a later one"))
+        """Give up the ownership because a worker rejected this owner's epoch."""
+        emit(
+            events.OwnerLost(epoch=self.epoch, reason="a worker has seen a later epoch")
+        )
         self.lease.mark_lost()
         self._ended.set()
 
     def changed(self) -> None:
-        """The board has changed: store and plan."""
+        """Schedule storing and planning after a change of the cluster state."""
         self._changed.set()
         self._plan_due.set()
 
     async def batch_stored(self, limit_s: float) -> None:
-        """Wait until a batch was stored, at most that long."""
+        """Wait until a batch has been stored, for at most `limit_s`."""
         self._changed.set()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 await self._stored.wait()
 
     def worker_restarted(self, worker: FleetWorker, born_ms: int) -> None:
-        """Another incarnation answers under a worker's identity."""
+        """Handle a reply from a new incarnation of a worker."""
         self.roster.worker_restarted(worker, born_ms)
         self.changed()
 
-    # --- life -----------------------------------------------------------------
+    # --- life cycle -----------------------------------------------------------
 
     async def run(self) -> None:
-        """Take over, and decide until the lease is lost."""
+        """Take over, and schedule until the lease is lost."""
         try:
             await self._take_over()
             for loop in (
@@ -242,18 +254,23 @@
             self.changed()
             await self._ended.wait()
         except LeaseLost:
-            emit(events.OwnerLost(epoch=self.epoch, reason="deposed in its takeover"))
+            emit(
+                events.OwnerLost(epoch=self.epoch, reason="deposed during its takeover")
+            )
         except TakeoverTimeout:
-            LOG.warning("The rows were not read in time: a better host may own.")
+            LOG.warning(
+                "stored rows not read within the takeover time limit; "
+                "ownership released for a stronger host"
+            )
         finally:
             await self._background_tasks.cancel()
 
     async def hand_over(self) -> None:
-        """Give up the ownership in order: stop ordering, store, release.
+        """Give up the ownership gracefully: stop sending orders, store, release.
 
-        The release goes out after the transaction under way, never beside it:
-        both are conditional on the same row, and the loser would leave the
-        lease to run out.
+        The release is sent after the transaction in progress, never concurrently with
+        it: both are conditional on the same row, and if the release lost that race the
+        successor would have to wait until the lease expires.
         """
         self.handing_over = True
         self._handover_began_at = self.clock.now()
@@ -268,7 +285,8 @@
         began = self.clock.now()
         self._old_leases_over_at = began + waits_s
         if self.epoch > 1:
-            # Which machines fell before, only the earlier owner knew.
+            # Losses of machines before the takeover were known to the previous owner
+            # only.
             self.cluster_state.fleet.worker_failures.observing_since = began
         stored = await self._read_rows()
         restore(self.cluster_state, stored)
@@ -295,10 +313,10 @@
         )
 
     async def _read_rows(self) -> StoredRows:
-        """Read what earlier owners stored, within the time that this host has.
+        """Read what earlier owners stored, within this host's time limit.
 
         Raises:
-            TakeoverTooSlow: It was not read in time; the ownership is released.
+            TakeoverTimeout: The limit was exceeded; the ownership was released.
         """
         try:
             async with asyncio.timeout(self.takeover_read_timeout_s):
@@ -321,13 +339,18 @@
             try:
                 await self._store(batch)
             except LeaseLost:
-                emit(events.OwnerLost(epoch=self.epoch, reason="the row has another"))
+                emit(
+                    events.OwnerLost(
+                        epoch=self.epoch, reason="the row names another owner"
+                    )
+                )
                 self._ended.set()
                 return
             except Exception:
-                # What the batch changed is no longer dirty: only the table's
-                # rows can be trusted, so they are read anew in a new epoch.
-                LOG.exception("Storing failed; the ownership is given up.")
+                # The batch has already cleared its jobs' dirty flags, so the state in
+                # memory may differ from the table. Only the stored rows can be trusted:
+                # they are read again in a new epoch.
+                LOG.exception("storing a batch failed; releasing the ownership")
                 await self._release()
                 return
             if self.handing_over and (
@@ -338,10 +361,11 @@
                 self._changed.set()
 
     def _is_past_handover_store_limit(self) -> bool:
-        """Tell whether a hand-over need not wait for what is still to be stored.
+        """Return whether a handover stops waiting for changes that are not stored.
 
-        Nothing of that was told to anybody or acted on, and workers tell their
-        ends again. In a slow store there is always something left.
+        Dropping them is safe: no caller was told of them and nothing was started for
+        them, and workers report their ended attempts again. On a slow table there are
+        always changes left to store.
         """
         return self.clock.now() - self._handover_began_at > HANDOVER_STORE_LIMIT_S
 
@@ -349,7 +373,7 @@
         try:
             await self.lease.release()
         except (errors.TableUnavailable, LeaseLost) as exc:
-            LOG.warning("The ownership was not released: %r", exc)
+            LOG.warning("could not release the ownership lease: %r", exc)
         else:
             emit(events.OwnerReleased(epoch=self.epoch))
         self._ended.set()
@@ -381,7 +405,10 @@
     def _note_table_unavailable(
         self, exc: errors.TableUnavailable, since: float
     ) -> None:
-        """Refuse new work once the table is down, not at one lost answer."""
+        """Record a failed write; refuse new jobs only once the table counts as down.
+
+        A single lost reply does not count as an outage.
+        """
         refused = isinstance(exc, errors.TableRefused)
         if not refused and self.clock.now() - since < TABLE_DOWN_AFTER_S:
             emit(events.TableSilent(reason=str(exc), down=False))
@@ -403,7 +430,7 @@
             began = self.clock.now()
             self.dispatcher.plan()
             self.stop_soon()
-            # In a backlog a round takes longer: all else gets as much time.
+            # A round takes longer under a backlog; leave as much time to other tasks.
             took_s = self.clock.now() - began
             await asyncio.sleep(max(options.STORE_BATCH_DELAY_S, took_s))
 
@@ -421,10 +448,10 @@
                     self.roster.refresh()
                     self._plan_due.set()
             except errors.TableUnavailable as exc:
-                LOG.debug("The list of workers was not read: %s", exc)
+                LOG.debug("could not read the list of workers: %s", exc)
 
     def worker_list_interval_s(self) -> float:
-        """Return how long to wait before the list of workers is read again."""
+        """Return the pause before the list of workers is read again."""
         if self._is_worker_list_settled():
             return options.DIRECTORY_POLL_INTERVAL_S
         return options.DIRECTORY_FAST_POLL_INTERVAL_S
@@ -475,14 +502,14 @@
             )
         )
 
-    # --- what doors ask -----------------------------------------------------------
+    # --- requests from front ends -------------------------------------------------
 
     async def submit(self, req: SubmitRequest) -> SubmitReply:
         """Accept a job, or refuse it before anything is stored.
 
         Raises:
-            NotOwner: It was not taken in; the next owner may.
-            PeerUnavailable: It is unknown whether it was accepted.
+            NotOwner: The ownership is being handed over; the next owner may accept it.
+            PeerUnavailable: It is unknown whether the job was stored.
         """
         known = self.cluster_state.jobs.get(req.job_id)
         if known is not None and not known.is_visible_to(req.access.workspace):
@@ -528,24 +555,24 @@
         raise errors.PeerUnavailable("not known to be stored")
 
     def state(self, job_id: str, workspace: str = "") -> JobReply:
-        """Return the stored state of a job, as a workspace's callers are told."""
+        """Return the stored state of a job, as visible to callers of a workspace."""
         state = self.cluster_state.reported.get(job_id)
         if state is None or self._visible_job(job_id, workspace) is None:
             return JobReply(owner=True)
         return JobReply(owner=True, known=True, state=state.value)
 
     def _visible_job(self, job_id: str, workspace: str) -> Job | None:
-        """Return a job that a workspace's callers may be told of."""
+        """Return a job if it is visible to callers of a workspace."""
         job = self.cluster_state.jobs.get(job_id)
         return job if job is not None and job.is_visible_to(workspace) else None
 
     async def settled_state(self, job_id: str, workspace: str = "") -> JobReply:
-        """Return a job's state, after the write that is about to end it.
+        """Return the state of a job, waiting for a write that is about to end it.
 
-        Callers ask when they expect a job to have ended, and again 0.25 s later. Of
-        726 short jobs that were asked for within 0.03 s of their end 717 were told
-        'running', 0.02 s before the end was stored. Such a question waits for the
-        transaction; what is not known to have ended is answered at once.
+        Callers poll when they expect a job to have ended, and again 0.25 s later. Of
+        726 short jobs polled within 0.03 s of their end, 717 were reported as 'running'
+        0.02 s before the end was stored. A query for a job that has ended therefore
+        waits for the transaction; any other query is answered immediately.
         """
         job = self._visible_job(job_id, workspace)
         if job is not None and job.verdict is not None and self.store_answers:
@@ -555,11 +582,11 @@
         return self.state(job_id, workspace)
 
     def _is_verdict_stored(self, job: Job) -> bool:
-        """Tell whether callers are told what became of a final job."""
+        """Return whether the final state of a job is stored and reported to callers."""
         return self.cluster_state.reported.get(job.job_id) is job.verdict
 
     async def _until_stored(self, holds: Callable[[], bool], limit_s: float) -> bool:
-        """Wait for batches until something holds; return whether it does."""
+        """Wait for stored batches until a condition holds; return whether it does."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 while not holds():
@@ -567,10 +594,10 @@
         return holds()
 
     async def cancel(self, job_id: str, workspace: str = "") -> JobReply:
-        """Cancel a job; the answer comes when that is stored.
+        """Cancel a job; return once the cancellation is stored.
 
         Raises:
-            PeerUnavailable: It is unknown whether it was stored.
+            PeerUnavailable: It is unknown whether the cancellation was stored.
         """
         job = self._visible_job(job_id, workspace)
         if job is None:
@@ -585,10 +612,10 @@
         return JobReply(owner=True, known=True, state=job.state().value)
 
     def stop_soon(self) -> None:
-        """Order the stops that the board asks for, now.
+        """Send the stops that are due without waiting for the next sync.
 
-        Only on the workers that it names: with 270 of them a look at each, for each
-        round and each cancelling, was 3% of what an owner did.
+        Only the workers concerned are visited: with 270 workers, checking each of them
+        on every round and every cancellation took 3% of the owner's CPU time.
         """
         for name in self.cluster_state.take_stops_due():
             link = self.links.get(name)
@@ -596,7 +623,7 @@
                 link.stop_soon()
 
     def digest(self, req: Heartbeat) -> HeartbeatReply:
-        """Exchange digests with another host."""
+        """Record another host's heartbeat and return the owner's reply."""
         now = self.clock.now()
         self.peers.record_heartbeat(req, now)
         version, peers = self.peers.peer_list(now, req.peers_seen)
@@ -614,7 +641,7 @@
         )
 
     def workspaces(self) -> dict[str, dict[str, object]]:
-        """Return what each workspace has and waits for, for the state dump."""
+        """Return the usage, quota and waiting tasks of each workspace, for dumps."""
         quotas = self.cluster_state.quotas
         waiting: collections.Counter[str] = collections.Counter()
         for step in self.cluster_state.waiting.values():
@@ -630,7 +657,7 @@
         }
 
     def summary(self) -> dict[str, int]:
-        """Return counts for logs and the state dump."""
+        """Return counts of jobs and tasks, for logs and the state dump."""
         placed = sum(
             len(w.placements) for w in self.cluster_state.fleet.workers.values()
         )
--- a/cranberrycleat/workflow/quota.py
+++ b/cranberrycleat/workflow/quota.py
@@ -1,13 +1,14 @@
-"""What each workspace has on workers, and whether more of it may begin.
+"""Accounts for the resources that each workspace uses, and enforces its quota.
 
-A charge begins when an attempt is placed and ends when it is proved to be over, exactly
-as the room on its worker (see `fleet`): placed, ordered without an answer, on a worker
-that is silent or has started again, being stopped. The board charges and releases, the
-planner asks before it places, a link once more before an order leaves. A successor
-inherits every charge from the rows (see `rows.JobRow`), before its first start.
+An attempt is charged from its placement until it is proved to be over, exactly as its
+capacity is reserved on the worker (see `fleet`). It stays charged while its start is
+unanswered, while its worker is silent or has restarted, and while it is being stopped.
+The cluster state charges and releases attempts; the planner checks the quota before it
+places a task, and a link checks again before it sends a start. A successor rebuilds all
+charges from the rows (see `rows.JobRow`) before it starts anything.
 
-The quota itself is the aim. What a platform lets pass above it is left for attempts of
-which nobody could know.
+The limit enforced is the quota itself. The overshoot that a platform tolerates is left
+for attempts that no owner could know of.
 """
 
 import collections
@@ -19,18 +20,18 @@
 from cranberrycleat.amounts import NOTHING, Amounts
 
 NO_LIMIT: Final = 1 << 60
-"""More of a resource than any cell has."""
+"""A larger amount of a resource than any cell has."""
 UNLIMITED: Final = Amounts(
     processors=NO_LIMIT, memory_mb=NO_LIMIT, accelerators=NO_LIMIT
 )
 
 ChargeKey = tuple[str, str, int]
-"""A worker's incarnation, a task's name and the number of an attempt."""
+"""The worker's incarnation, the name of the task and the number of the attempt."""
 
 
 @attrs.frozen(kw_only=True)
 class Charge:
-    """What one attempt takes of its workspace's quota."""
+    """The resources that one attempt is charged to its workspace."""
 
     workspace: str
     amounts: Amounts
@@ -41,11 +42,11 @@
     """The charges of one owner.
 
     Attributes:
-        quotas: Tells each workspace's quota, 0 for no limit; None while a newer one
-            may be in force.
-        charges: What counts, by worker and attempt.
-        used: The sum for each workspace.
-        running: How many charges each workspace has.
+        quotas: Returns the quota of each workspace, where 0 means no limit; None while
+            a newer quota may be in force.
+        charges: The current charges, by worker and attempt.
+        used: The sum of the charges of each workspace.
+        running: The number of charges of each workspace.
     """
 
     quotas: Callable[[], Mapping[str, Amounts] | None] = dict
@@ -54,7 +55,7 @@
     running: "collections.Counter[str]" = attrs.field(factory=collections.Counter)
 
     def charge(self, key: ChargeKey, workspace: str, amounts: Amounts) -> None:
-        """Begin to count an attempt; idempotent."""
+        """Charge an attempt to its workspace; idempotent."""
         if not workspace or key in self.charges:
             return
         self.charges[key] = Charge(workspace=workspace, amounts=amounts)
@@ -62,7 +63,7 @@
         self.running[workspace] += 1
 
     def release(self, key: ChargeKey) -> None:
-        """Stop counting an attempt that is proved to be over; idempotent."""
+        """Release the charge of an attempt that is proved to be over; idempotent."""
         charge = self.charges.pop(key, None)
         if charge is None:
             return
@@ -73,15 +74,15 @@
             del self.running[workspace], self.used[workspace]
 
     def used_by(self, workspace: str) -> Amounts:
-        """Return what a workspace has on workers."""
+        """Return the resources charged to a workspace."""
         return self.used.get(workspace, NOTHING)
 
     def quota_of(self, workspace: str) -> Amounts | None:
-        """Return a workspace's quota; None where it has no limit, or is not known."""
+        """Return the quota of a workspace; None if it has none or it is not known."""
         return (self.quotas() or {}).get(workspace)
 
     def headroom(self, workspace: str) -> Amounts:
-        """Return what a workspace may have besides; parts may be negative."""
+        """Return the unused quota of a workspace; amounts may be negative."""
         if not workspace:
             return UNLIMITED
         quotas = self.quotas()
@@ -90,10 +91,10 @@
         return remaining_quota(quotas.get(workspace, NOTHING), self.used_by(workspace))
 
     def may_begin(self, workspace: str, needs: Amounts, count: int = 1) -> bool:
-        """Tell whether so many like tasks may begin together.
+        """Return whether `count` identical tasks may start together.
 
-        A single task may where its workspace has nothing else: else it would wait for
-        ever once the quota has fallen below it.
+        A single task may always start if nothing else of its workspace is charged.
+        Otherwise it would wait forever once the quota is lowered below its needs.
         """
         if not workspace:
             return True
@@ -103,7 +104,7 @@
         return count == 1 and not self.running[workspace] and self.quotas() is not None
 
     def is_over(self, workspace: str) -> bool:
-        """Tell whether a workspace has more than its quota, which may have fallen."""
+        """Return whether a workspace exceeds its quota, which may have been lowered."""
         quota = self.quota_of(workspace)
         if quota is None or self.running[workspace] <= 1:
             return False
@@ -111,7 +112,7 @@
 
 
 def remaining_quota(quota: Amounts, used: Amounts = NOTHING) -> Amounts:
-    """Return what a quota leaves beside what is used; 0 in it is no limit."""
+    """Return the part of a quota that is not used; 0 in the quota means no limit."""
     return Amounts(
         processors=_remaining_part(quota.processors, used.processors),
         memory_mb=_remaining_part(quota.memory_mb, used.memory_mb),
--- a/cranberrycleat/workflow/rows.py
+++ b/cranberrycleat/workflow/rows.py
@@ -1,13 +1,13 @@
-"""How jobs are stored: one row each, or two.
-
-`jobs/ID` holds what has become of a job and is written at each change. What was
-handed in stands in it too where it is small: a short job then takes three entries
-of a transaction in its life instead of five, and in a slow store, which carries out
-some 4 transactions of 96 entries a second, entries decide how many jobs a second get
-through. Otherwise it stands in `specs/ID`, written once and removed at the end.
-Bytes at the platform's store are priced, so `jobs` rows are arrays without
-field names (msgspec's `array_like`, which attrs classes do not have): a job of
-ten placed tasks takes about 300 bytes instead of 900.
+"""The stored form of jobs: one or two rows per job.
+
+`jobs/ID` holds the mutable part of a job and is written on every change. A small
+specification is stored inline in that row: a short job then uses three transaction
+entries over its lifetime instead of five. On a slow table, which executes about 4
+transactions of 96 entries per second, the number of entries limits the job throughput.
+A larger specification is stored in `specs/ID`, written once and deleted when the job
+ends. The platform's table charges by the byte, so `jobs` rows are encoded as arrays
+without field names (msgspec's `array_like`, which attrs classes do not support): a job
+with ten placed tasks takes about 300 bytes instead of 900.
 """
 
 from collections.abc import Iterator
@@ -39,13 +39,13 @@
 
 @attrs.frozen(kw_only=True)
 class SpecRow:
-    """The unchanging part of a job.
+    """The immutable part of a job.
 
     Attributes:
-        queue: The rules of its queue when it was accepted.
+        queue: The settings of its queue at the time it was accepted.
         spec: The job.
-        accepted_s: When, in seconds since 1970.
-        workspace: Whose it is; empty: nobody's.
+        accepted_s: When it was accepted, in seconds since 1970.
+        workspace: The workspace it belongs to; empty for none.
     """
 
     queue: Queue
@@ -71,12 +71,12 @@
 
 
 class JobRow(msgspec.Struct, array_like=True):
-    """The changing part of a job; `verdict` indexes `_VERDICTS`.
+    """The mutable part of a job; `verdict` is an index into `_VERDICTS`.
 
-    `spec` is the unchanging part of an open job that is small. `workspace` stands here
-    too, since that part is removed when the job ends. `left` are attempts that may
-    still run though their tasks are not placed any more: of a job that was cancelled,
-    or stopped since another one was done.
+    `spec` is the immutable part of a small open job. `workspace` is repeated here
+    because that part is deleted when the job ends. `left` lists attempts that may still
+    run although their tasks are no longer placed there: attempts of a cancelled job, or
+    attempts stopped because another one completed the task.
     """
 
     verdict: int = 0
@@ -89,7 +89,7 @@
     left: tuple[tuple[str, int, str, int, int, int], ...] = ()
 
     def state(self) -> JobState:
-        """Return what callers are told."""
+        """Return the state reported to callers."""
         verdict = _VERDICTS[self.verdict]
         if verdict is not None:
             return verdict
@@ -97,22 +97,22 @@
 
 
 def job_key(job_id: str) -> str:
-    """Return the key of a job's changing part."""
+    """Return the key of a job's mutable part."""
     return f"{JOBS}/{job_id}"
 
 
 def spec_key(job_id: str) -> str:
-    """Return the key of a job's unchanging part."""
+    """Return the key of a job's immutable part."""
     return f"{SPECS}/{job_id}"
 
 
 def inbox_key(job_id: str) -> str:
-    """Return the key of a job that a door stored itself."""
+    """Return the inbox key of a job that a front end stored itself."""
     return f"{INBOX}/{job_id}"
 
 
 def spec_put(job: Job) -> Put:
-    """Return the write of a job's unchanging part."""
+    """Return the write of a job's immutable part."""
     return Put(key=spec_key(job.job_id), value=codec.encode_text(_spec_row(job)))
 
 
@@ -126,7 +126,7 @@
 
 
 def job_put(job: Job, left: tuple[OrphanedAttempt, ...] = ()) -> Put:
-    """Return the write of a job's changing part, and of a small one's whole."""
+    """Return the write of a job's mutable part, with the spec inline if it is small."""
     inline = job.spec_inline and job.verdict is None
     row = JobRow(
         verdict=_VERDICTS.index(job.verdict),
@@ -195,17 +195,17 @@
 
 
 def _pack_losses(step: StepRun) -> Iterator[tuple[int, int, str, str, bool]]:
-    """Yield each lost worker; a successor must not begin to count anew."""
+    """Yield the lost workers; a successor continues the count from them."""
     for index, record in step.losses.items():
         for each in record.lost:
             yield index, each.attempt, each.worker, each.address, each.early
 
 
 def decode_job_row(text: str, place: str) -> JobRow:
-    """Return the changing part of a job.
+    """Decode the mutable part of a job.
 
     Raises:
-        FindingsError: The row is not of that form.
+        FindingsError: The row is malformed.
     """
     try:
         return msgspec.json.decode(text, type=JobRow)
@@ -215,7 +215,7 @@
 
 
 def restore(job_id: str, spec: SpecRow, row: JobRow) -> Job:
-    """Return a job as its rows tell it."""
+    """Rebuild a job from its rows."""
     job = Job(
         job_id=job_id,
         queue=spec.queue,
@@ -237,7 +237,7 @@
 
 
 def ended_job(job_id: str, row: JobRow) -> Job:
-    """Return a job that is final, of which only the changing part is left."""
+    """Rebuild a final job, of which only the mutable part is still stored."""
     return Job(
         job_id=job_id,
         queue=Queue(name="", host="", prefix="", pool=""),
--- a/cranberrycleat/workflow/state.py
+++ b/cranberrycleat/workflow/state.py
@@ -1,7 +1,7 @@
-"""What has become of a job: its occurrences, steps and tasks.
+"""The state of jobs: their occurrences, steps and tasks.
 
-Pure bookkeeping, no clock and no network. Every change marks the job dirty by
-its caller (`board`); an owner acts on a change only after it was stored.
+Data structures only, without a clock and without I/O. The caller (`cluster_state`)
+marks a job dirty on every change; the owner acts on a change only once it is stored.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task stands."""
+    """The state of a task."""
 
     PENDING = "pending"
     PLACED = "placed"
@@ -24,7 +24,7 @@
 
 
 class JobState(enum.Enum):
-    """Where a job stands, as callers are told."""
+    """The state of a job, as reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -42,14 +42,14 @@
 
     Attributes:
         step: The step it belongs to.
-        index: Its place in the step.
-        state: Where it stands.
-        attempt: The newest attempt; 0 before the first.
-        worker: Where that attempt was placed; empty while pending.
-        failures: Attempts that ended as failed.
-        saved: The newest saved progress; empty for none.
+        index: Its index in the step.
+        state: Whether it is pending, placed or done.
+        attempt: The number of the latest attempt; 0 before the first.
+        worker: The worker on which that attempt was placed; empty while pending.
+        failures: The number of attempts that ended as failed.
+        saved: The latest checkpoint; empty for none.
         not_before: When it may be placed again, on the owner's clock.
-        at_work: It has started up and works at full speed.
+        at_full_speed: Whether it has started up and runs at full speed.
         failed_on: The workers on which an attempt of it failed, as far as this
             owner knows.
     """
@@ -67,17 +67,17 @@
 
     @property
     def name(self) -> str:
-        """The name that workers know it by."""
+        """The name by which workers identify the task."""
         return f"{self.step.name}.{self.index}"
 
 
 @attrs.frozen(kw_only=True)
 class StepUrgency:
-    """What a step's place in the order rests on; it does not change.
+    """The inputs to a step's rank in the scheduling order; they do not change.
 
     Attributes:
         latest_start_s: When it must start to meet its objective, since 1970.
-        may_be_late_s: How much later it is still worth something.
+        tolerated_lateness_s: How much later than that a start is still worthwhile.
     """
 
     latest_start_s: float
@@ -92,19 +92,19 @@
         job: The job.
         occurrence: The occurrence's number.
         number: The step's number.
-        spec: What it asks for.
+        spec: Its specification.
         tasks: Its tasks.
         last_attempt: The highest attempt number of any of its tasks.
-        gang_failures: Attempts of the whole gang that ended as failed.
-        failed_attempt: The gang's attempt that was counted last as failed.
-        done: How many tasks have ended as done.
-        ready_at: When the step could begin, on the owner's clock.
-        waits_since: Since when members of a service have waited for room.
-        wait_reason: Why it was left waiting last, for logs.
-        wait_told_at: When that was logged last.
-        urgency: What its place in the order rests on, once it was worked out.
-        losses: What is on record of workers lost under its tasks, by their index; a
-            gang's stands under its first member.
+        gang_failures: The number of attempts of the whole gang that ended as failed.
+        failed_attempt: The last attempt of the gang that was counted as failed.
+        done: The number of completed tasks.
+        ready_at: When the step became ready to run, on the owner's clock.
+        waits_since: Since when members of a service have waited for capacity.
+        wait_reason: Why it was last left waiting, for logs.
+        wait_logged_at: When that reason was last logged.
+        urgency: The inputs to its scheduling rank, once computed.
+        losses: The workers lost while they ran its tasks, by task index; those of a
+            gang are recorded under its first member.
     """
 
     job: "Job"
@@ -125,27 +125,27 @@
 
     @property
     def name(self) -> str:
-        """The name that the permit service knows it by."""
+        """The name by which the permit service identifies the step."""
         return f"{self.job.job_id}.{self.occurrence}.{self.number}"
 
     @property
     def is_done(self) -> bool:
-        """Whether every task has ended as done."""
+        """Whether every task is done."""
         return self.done == len(self.tasks)
 
     def losses_of(self, task: Task) -> LossRecord | None:
-        """Return what is on record of workers lost under a task, or its gang."""
+        """Return the record of workers lost under a task or its gang, if any."""
         return self.losses.get(self._loss_record_key(task))
 
     def ensure_losses_of(self, task: Task) -> LossRecord:
-        """Return the record of workers lost under a task, or its gang."""
+        """Return the record of workers lost under a task or its gang; create it."""
         return self.losses.setdefault(self._loss_record_key(task), LossRecord())
 
     def _loss_record_key(self, task: Task) -> int:
         return 0 if self.spec.gang else task.index
 
     def pending(self) -> list[Task]:
-        """Return the tasks that wait for a place."""
+        """Return the tasks that wait for placement."""
         return [task for task in self.tasks if task.state is TaskState.PENDING]
 
 
@@ -157,11 +157,11 @@
     steps: list[StepRun]
 
     def is_done(self) -> bool:
-        """Tell whether every step is done."""
+        """Return whether every step is done."""
         return all(step.is_done for step in self.steps)
 
     def ready_steps(self) -> list[StepRun]:
-        """Return the steps that are not done and wait for no other step."""
+        """Return the unfinished steps whose dependencies are done."""
         return [
             step
             for step in self.steps
@@ -172,13 +172,13 @@
 
 @attrs.frozen(kw_only=True)
 class OrphanedAttempt:
-    """An attempt that may still run though its task is not placed any more.
+    """An attempt that may still run although its task is no longer placed there.
 
     Attributes:
-        task: The task's name.
-        attempt: The attempt.
-        worker: The incarnation of a worker that it was placed on.
-        needs: What it is counted with.
+        task: The name of the task.
+        attempt: The attempt number.
+        worker: The worker incarnation on which it was placed.
+        needs: The resources reserved for it.
     """
 
     task: str
@@ -192,21 +192,21 @@
     """One accepted job.
 
     Attributes:
-        job_id: The caller's identity for it.
-        queue: The queue's rules, as they were when it was accepted.
-        spec: What was handed in.
+        job_id: The ID chosen by the caller.
+        queue: The settings of its queue at the time it was accepted.
+        spec: The job as submitted.
         accepted_s: When it was accepted, in seconds since 1970.
         verdict: Its final state; None while it is open.
         ended_s: When it became final, in seconds since 1970.
-        started: Whether any task of it was ever placed.
-        next_occurrence: The first occurrence that has not been opened.
-        open: Occurrences that are due and not done.
-        spec_stored: Whether its unchanging part was written.
-        spec_inline: Whether that part stands in the row of its changing part.
-        offered: Whether any transaction with it was sent.
-        attempts: Attempts of its tasks that this owner placed.
-        workspace: Whose it is; empty: nobody's, and shown to all.
-        left: What an earlier owner had not heard to be over.
+        started: Whether any of its tasks was ever placed.
+        next_occurrence: The number of the first occurrence not yet opened.
+        open: Occurrences that are due and not done, by number.
+        spec_stored: Whether its immutable part has been stored.
+        spec_inline: Whether the immutable part is stored inline, in the mutable row.
+        sent_to_table: Whether any transaction containing it was sent.
+        attempts: The number of attempts of its tasks that this owner placed.
+        workspace: The workspace it belongs to; empty for none: visible to everyone.
+        left: Orphaned attempts whose end an earlier owner did not receive.
     """
 
     job_id: str
@@ -226,17 +226,17 @@
     left: tuple[OrphanedAttempt, ...] = ()
 
     def is_visible_to(self, workspace: str) -> bool:
-        """Tell whether a workspace's callers are told of it."""
+        """Return whether callers of a workspace may see the job."""
         return may_see(caller=workspace, owner=self.workspace)
 
     def state(self) -> JobState:
-        """Return what callers are told."""
+        """Return the state reported to callers."""
         if self.verdict is not None:
             return self.verdict
         return JobState.RUNNING if self.started else JobState.QUEUED
 
     def has_begun(self) -> bool:
-        """Tell whether what is stored shows that a worker began any task of it."""
+        """Return whether the stored state shows that a worker started any task."""
         return self.verdict is not None or any(
             task.state is TaskState.DONE or bool(task.failures) or bool(task.saved)
             for occurrence in self.open.values()
@@ -257,7 +257,7 @@
         return occurrence
 
     def next_occurrence_due_s(self) -> float | None:
-        """Return when the next occurrence is due, since 1970; None: no more."""
+        """Return when the next occurrence is due, since 1970; None if none is left."""
         if self.verdict is not None or self.next_occurrence >= self.spec.occurrences():
             return None
         if self.spec.schedule is None:
@@ -265,7 +265,7 @@
         return self.spec.schedule.due_s(self.next_occurrence)
 
     def find(self, task_name: str) -> Task | None:
-        """Return one of its tasks by name, if it is of an open occurrence."""
+        """Return a task by name if it belongs to an open occurrence."""
         parts = task_name.split(".")
         if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
             return None
@@ -276,7 +276,7 @@
         return step.tasks[int(parts[3])] if int(parts[3]) < len(step.tasks) else None
 
     def place(self, task: Task, worker: str, attempt: int) -> None:
-        """Note that an attempt of a task was given a worker."""
+        """Record the placement of an attempt of a task."""
         task.state = TaskState.PLACED
         task.at_full_speed = False
         task.worker = worker
@@ -286,13 +286,13 @@
         self.attempts += 1
 
     def unplace(self, task: Task) -> None:
-        """Note that an attempt is over without an end that counts."""
+        """Return a task to pending after an attempt that did not complete it."""
         task.state = TaskState.PENDING
         task.at_full_speed = False
         task.worker = ""
 
     def end(self, task: Task, how: EndKind, saved: str) -> None:
-        """Note how the current attempt of a task ended."""
+        """Record the end of the current attempt of a task."""
         if saved:
             self.note_saved(task, saved)
         match how:
@@ -305,7 +305,7 @@
                 self.unplace(task)
 
     def note_saved(self, task: Task, saved: str) -> None:
-        """Note newer progress; a gang's is that of all its members."""
+        """Record a newer checkpoint; a gang's checkpoint applies to all its members."""
         members = task.step.tasks if task.step.spec.gang else [task]
         for member in members:
             member.saved = saved
--- a/cranberrycleat/workflow/takeover.py
+++ b/cranberrycleat/workflow/takeover.py
@@ -1,8 +1,8 @@
-"""What a successor reads before it decides anything.
+"""Reads the stored rows at a takeover, before the new owner schedules anything.
 
-Everything that lasts stands in the table; after the takeover's write nothing of
-an earlier owner can be stored any more, so that what is read then is the truth
-but for what workers tell.
+All durable state is in the table. Once the takeover's write has succeeded, no earlier
+owner can store anything more, so the rows read after it are current; only what the
+workers report can be newer.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class StoredRows:
-    """The rows of an earlier owner and of the doors."""
+    """The rows stored by earlier owners and by front ends."""
 
     specs: tuple[Row, ...]
     jobs: tuple[Row, ...]
@@ -36,10 +36,10 @@
 async def read_all(
     lease: OwnershipLease, store: FeedTable, directory: WorkerDirectory
 ) -> StoredRows:
-    """Read every row and the list of workers, however long that takes.
+    """Read all rows and the list of workers, retrying while the table is unavailable.
 
     Raises:
-        Deposed: Another process holds the lease by now.
+        Deposed: Another process has acquired the lease.
     """
     while True:
         reading = asyncio.ensure_future(_read(store, directory))
@@ -47,7 +47,7 @@
         try:
             return reading.result()
         except errors.TableUnavailable as exc:
-            LOG.warning("The takeover waits for the table: %s", exc)
+            LOG.warning("takeover: table unavailable, will retry: %s", exc)
             await asyncio.sleep(options.STORE_RETRY_INTERVAL_S)
             await _renew(lease)
 
@@ -63,10 +63,10 @@
 
 
 async def _renew_while(lease: OwnershipLease, reading: "asyncio.Future[Any]") -> None:
-    """Keep the lease while rows are read.
+    """Keep renewing the lease while the rows are read.
 
-    Rows that take longer to read than a lease lasts would otherwise make each
-    successor lose the ownership in its takeover.
+    If reading takes longer than the lease lasts, every successor would otherwise lose
+    the ownership during its takeover.
     """
     try:
         while not reading.done():
@@ -77,13 +77,13 @@
 
 
 async def _renew(lease: OwnershipLease) -> None:
-    # Without an answer the next renewal settles it; a lost lease is raised.
+    # An unanswered renewal is settled by the next one; a lost lease raises `LeaseLost`.
     with contextlib.suppress(errors.TableUnavailable):
         await lease.commit()
 
 
 def restore(cluster_state: ClusterState, stored: StoredRows) -> None:
-    """Take in every job; a row that cannot be read is logged with its place."""
+    """Add every stored job; rows that cannot be decoded are logged with their keys."""
     specs = {row.key.partition("/")[2]: row for row in stored.specs}
     for row in stored.jobs:
         job_id = row.key.partition("/")[2]
--- a/tests/cell.py
+++ b/tests/cell.py
@@ -1,4 +1,4 @@
-"""A cell of nodes, table and workers in one process, for tests of stepped jobs."""
+"""An in-process cell (table, workers and owners) for tests of multi-step jobs."""
 
 import asyncio
 import contextlib
@@ -40,7 +40,7 @@
 
 
 def queue(name: str = "q", **changes: object) -> Queue:
-    """Return a queue of the one pool."""
+    """Return a queue that uses the only pool."""
     base = Queue(
         name=name,
         host="host.example",
@@ -54,21 +54,21 @@
 
 
 def step(count: int = 1, processors: int = 1000, **more: object) -> StepSpec:
-    """Return a step of like tasks."""
+    """Return a step of identical tasks."""
     needs = Amounts(processors=processors, memory_mb=100)
     base = StepSpec(count=count, needs=needs, estimate_s=0.05)
     return attrs.evolve(base, **more)  # type: ignore[arg-type]
 
 
 def job(*steps: StepSpec) -> WorkflowSpec:
-    """Return a job of some steps."""
+    """Return a job with the given steps."""
     return WorkflowSpec(program="program", steps=steps)
 
 
 def entry(
     name: str, *, processors: int = 4000, rack: str = "r1", born_ms: int = 0
 ) -> WorkerEntry:
-    """Return a worker's entry; born at 0, its platform tells no incarnations apart."""
+    """Return a worker's entry; with `born_ms` 0, incarnations are not distinguished."""
     return WorkerEntry(
         worker=name,
         pool=POOL,
@@ -83,7 +83,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class AllPermits:
-    """A permit service that allows every worker and counts its calls."""
+    """A permit service that allows every worker and records its calls."""
 
     calls: list[tuple[str, tuple[str, ...]]] = attrs.field(factory=list)
 
@@ -97,7 +97,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Cell:
-    """Table, workers and as many owners as a test starts."""
+    """A table, workers, and the owners that a test starts."""
 
     table: MemoryFeedTable = attrs.field(factory=MemoryFeedTable)
     fleet: StandinFleet = attrs.field(factory=StandinFleet)
@@ -110,7 +110,7 @@
     tasks: "list[asyncio.Task[None]]" = attrs.field(factory=list)
 
     def add_worker(self, name: str, **more: object) -> None:
-        """Add a worker that the platform lists."""
+        """Add a worker and have the platform list it."""
         found = entry(name, **more)  # type: ignore[arg-type]
         self.entries[name] = found
         self.fleet.add(found)
@@ -126,27 +126,27 @@
             self.unlist_worker(before)
 
     def restart_worker(self, name: str) -> SimulatedWorker:
-        """Have a worker start again under its identity; the platform lists that."""
+        """Restart a worker under the same identity and list its new incarnation."""
         after = self.fleet.restart(name)
         self.entries[name] = after.entry
         self.list_worker(name)
         return after
 
     def list_worker(self, name: str) -> None:
-        """Have the platform list a worker, as it is now."""
+        """Have the platform list a worker in its current state."""
         put = Put(key=f"servers/{name}", value=name)
         self.table.apply(Transaction(puts=(put,)))
 
     def unlist_worker(self, name: str) -> None:
-        """Have the platform no longer list a worker."""
+        """Remove a worker from the platform's list."""
         self.table.apply(Transaction(deletes=(f"servers/{name}",)))
 
     def read_worker(self, row: Row) -> WorkerEntry:
-        """Return the entry that a row names."""
+        """Return the entry of the worker named in a row."""
         return self.entries[row.value]
 
     def make_owner(self, name: str) -> Owner:
-        """Return an owner that has not the lease yet."""
+        """Return an owner that has not acquired the lease yet."""
         lease = OwnershipLease(
             table=self.table,
             clock=self.clock,
@@ -179,7 +179,7 @@
         return owner
 
     async def own(self, name: str = "one") -> Owner:
-        """Win the lease as one host, waiting for it, and take over."""
+        """Wait for the lease, acquire it under a host name, and take over."""
         owner = self.make_owner(name)
         while not await owner.lease.acquire():
             await asyncio.sleep(0.02)
@@ -190,7 +190,7 @@
     def job_frontend(
         self, owner: Callable[[], Owner | None], **more: object
     ) -> JobFrontend:
-        """Return a door beside an owner."""
+        """Return a front end that runs beside an owner."""
         config = ConfigFollower(
             store=self.table, table="op", key="op/config", read=lambda row: CONFIG
         )
@@ -218,7 +218,7 @@
         return JobFrontend(**{**given, **more})  # type: ignore[arg-type]
 
     async def close(self) -> None:
-        """End every owner at once, as a kill would."""
+        """Cancel all owners without a handover, as if they were killed."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -230,7 +230,7 @@
 
 @contextlib.asynccontextmanager
 async def cell(workers: int = 3, **more: object) -> AsyncIterator[Cell]:
-    """Run a cell with some workers."""
+    """Run a cell with a number of workers."""
     env = Cell(**more)  # type: ignore[arg-type]
     for number in range(workers):
         env.add_worker(f"w{number}")
@@ -243,20 +243,20 @@
 async def submit(
     owner: Owner, job_id: str, spec: WorkflowSpec, at: Queue | None = None
 ) -> None:
-    """Hand a job to an owner; it must be accepted."""
+    """Submit a job to an owner, and check that it is accepted."""
     req = SubmitRequest(job_id=job_id, queue=at or queue(), spec=spec)
     reply = await owner.submit(req)
     assert reply.accepted, reply
 
 
 async def until(condition: Callable[[], bool], limit_s: float = 8.0) -> None:
-    """Wait until something holds.
+    """Wait until a condition holds.
 
     Raises:
-        AssertionError: It did not within the time.
+        AssertionError: The condition did not hold within the time limit.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + limit_s
     while not condition():
-        assert loop.time() < end, "it did not come about in time"
+        assert loop.time() < end, "the condition did not hold within the time limit"
         await asyncio.sleep(0.01)
--- a/tests/quota_checker.py
+++ b/tests/quota_checker.py
@@ -1,7 +1,7 @@
-"""Judges what workspaces run by the workers' own record, while their quotas change.
+"""Checks the attempts that workers run against quotas that change.
 
-Beside `soak`: the fleet stand-in asks it at each start. A quota that was in force not
-long ago may still be; of those the highest counts.
+Used by `soak`: the fleet stand-in calls it at every start. A quota that was replaced
+recently may still be in force on a host, so the highest recent quota is the limit.
 """
 
 from collections.abc import Mapping
@@ -21,9 +21,9 @@
     """The quotas of some workspaces, as the operator sets them.
 
     Attributes:
-        clock: Tells the time.
-        quotas: What is in force; None while owners cannot know it.
-        before: Quotas that were in force, and until when.
+        clock: The clock of the test.
+        quotas: The quotas in force; None while owners cannot know them.
+        before: Earlier quotas, each with the time until which it was in force.
     """
 
     clock: Clock
@@ -32,7 +32,7 @@
     _last: Mapping[str, Amounts] = attrs.field(factory=dict)
 
     def change(self, quotas: Mapping[str, Amounts] | None) -> None:
-        """Have other quotas in force, or none that owners know."""
+        """Set the quotas in force; None hides them from owners."""
         if quotas is None:
             self.quotas = None
             return
@@ -40,15 +40,15 @@
         self.quotas = self._last = quotas
 
     def told(self) -> Mapping[str, Amounts] | None:
-        """Return what an owner is told."""
+        """Return the quotas that an owner sees."""
         return self.quotas
 
     def fault(self, workspace: str, running: list[Amounts]) -> str:
-        """Return what is wrong with what a workspace runs, or nothing.
+        """Return a description of a quota violation, or an empty string.
 
         Args:
-            workspace: Its name.
-            running: What each of its attempts takes, on all workers.
+            workspace: The name of the workspace.
+            running: The resources of each of its attempts, on all workers.
         """
         used = NOTHING
         for each in running:
@@ -60,7 +60,7 @@
         return ""
 
     def _highest(self, workspace: str) -> int:
-        """Return the highest quota that may be in force; 0 is no limit."""
+        """Return the highest quota that may be in force; 0 means no limit."""
         since = self.clock.now() - QUOTA_GRACE_S
         found = [self._last, *(each for until, each in self.before if until > since)]
         limits = [each.get(workspace, NOTHING).processors for each in found]
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who may call: keys of workspaces, keys taken away, hosts that are cut off."""
+"""Authorization: keys of workspaces, revoked keys, and hosts that are partitioned."""
 
 import json
 from typing import Any
@@ -56,7 +56,7 @@
 def access(
     config: ClusterConfig | None, *, age_s: float = 0.0, strict: bool = True
 ) -> KeyAuthorizer:
-    """Return what judges by a configuration of some age."""
+    """Return an authorizer with a configuration of a given age."""
     clock = ManualClock()
     clock.advance(seconds=100.0)
     return KeyAuthorizer(
@@ -88,7 +88,7 @@
 def test_key_authorization(
     key: str, age_s: float, strict: bool, expected: str | type
 ) -> None:
-    """By a configuration that may be old neither a key nor its lack is certain."""
+    """An old configuration proves neither that a key is valid nor that it is not."""
     digest = key_digest(key) if key else ""
     found = access(TWO_WORKSPACES, age_s=age_s, strict=strict).authorize(
         queue(), digest
@@ -147,7 +147,7 @@
 
 
 def watch(table: MemoryFeedTable, clock: ManualClock) -> ConfigWatch:
-    """Return a host's watch over a configuration's row."""
+    """Return a host's watch of the configuration row."""
     follower = ConfigFollower(
         store=table,
         table="op",
@@ -170,7 +170,7 @@
 def test_peer_confirms_the_configuration_age(
     version: int, asked_at: float, age_s: float, expected: float
 ) -> None:
-    """A host that lost the table goes on by the word of one that hears it."""
+    """A host without the table relies on confirmation by a host that reaches it."""
     config_watch = watch(MemoryFeedTable(), ManualClock())
     config_watch.follower.install(attrs.evolve(TWO_WORKSPACES, version=1))
     config_watch.confirmed_at = 10.0
@@ -179,7 +179,7 @@
 
 
 def test_an_unreadable_configuration_confirms_nothing() -> None:
-    """What is in force may be anything: the age of what is held goes on growing."""
+    """The configuration in force is unknown: the age of the held one keeps growing."""
 
     def read(row: Row) -> ClusterConfig:
         raise errors.FindingsError(findings=())
@@ -193,13 +193,13 @@
     assert config_watch.confirmed_at == float("-inf")
 
 
-# --- over a door ----------------------------------------------------------------------
+# --- through a front end --------------------------------------------------------------
 
 
 async def call(
     job_frontend: JobFrontend, method: str, path: str, key: str = "", body: bytes = b""
 ) -> tuple[int, Any, dict[bytes, bytes]]:
-    """Call the front as the platform does; return status, body and headers."""
+    """Call the ASGI front end as the platform does; return status, body and headers."""
     sent: list[dict[str, Any]] = []
     headers = [(b"host", b"host.example")]
     if key:
@@ -225,7 +225,7 @@
 def job_frontend_of(
     env: Cell, owner: Owner | None, config: ClusterConfig = TWO_WORKSPACES
 ) -> JobFrontend:
-    """Return a door by whose configuration callers need keys."""
+    """Return a front end whose configuration requires keys."""
     job_frontend = env.job_frontend(lambda: owner)
     job_frontend.config.current = config
     return job_frontend
@@ -235,7 +235,7 @@
 @pytest.mark.parametrize("method", ["GET", "POST", "DELETE"])
 @pytest.mark.parametrize("key", ["", "key-9"])
 def test_every_call_needs_a_key(method: str, path: str, key: str) -> None:
-    """Nothing is handed on; the answer says why and what is wanted."""
+    """Nothing is forwarded; the answer gives the reason and the scheme required."""
 
     async def run() -> None:
         async with cell() as env:
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize("with_owner", [True, False])
 def test_job_is_visible_only_to_its_workspace(with_owner: bool) -> None:
-    """To the key of another one it does not exist, and is not cancelled either."""
+    """With the key of another workspace it is not found, and cannot be cancelled."""
 
     async def run() -> None:
         async with cell(workers=0) as env:
@@ -274,7 +274,7 @@
 def test_job_id_of_another_workspace_is_not_a_duplicate(
     with_owner: bool,
 ) -> None:
-    """Told that it was accepted, its caller would wait for a job that nobody has."""
+    """If it were reported as accepted, the caller would wait for a job never stored."""
 
     async def run() -> None:
         async with cell(workers=0) as env:
@@ -306,7 +306,7 @@
 
 
 def test_each_request_is_authorized_separately() -> None:
-    """A key that is taken away is good no longer on connections opened before."""
+    """A revoked key is rejected even on connections opened before the revocation."""
 
     async def run() -> None:
         async with cell() as env:
@@ -322,7 +322,7 @@
 
 
 def test_host_with_a_stale_configuration_answers_unavailable() -> None:
-    """Neither run by a key that may be gone nor told that the key is bad."""
+    """It neither runs a job with a key that may be revoked nor rejects the key."""
 
     async def run() -> None:
         async with cell() as env:
@@ -337,7 +337,7 @@
 
 
 def test_owner_rechecks_grants_against_a_newer_configuration() -> None:
-    """A host that has not heard of the change yet hands on what is good no more."""
+    """A host that has not seen a revocation yet may forward a request it would deny."""
 
     async def run() -> None:
         async with cell() as env:
@@ -356,7 +356,7 @@
 
 
 def test_decoded_configuration_holds_no_plain_text_key() -> None:
-    """Dumps, logs and messages are written from what the adapter decodes."""
+    """Dumps, logs and messages are built from the decoded configuration."""
     tenants = [{"name": "one", "api_keys": ["secret-key"], "cap": {"cpu": 2000}}]
     value = json.dumps({"version": 1, "tenants": tenants})
     config = records.read_config(Row(key="op/config", value=value, version=1))
--- a/tests/test_candidacy.py
+++ b/tests/test_candidacy.py
@@ -1,4 +1,4 @@
-"""Who stands for the ownership where hosts are not alike."""
+"""Which hosts compete for the ownership when hosts differ in strength."""
 
 import asyncio
 
@@ -79,7 +79,7 @@
 def test_only_the_first_candidates_poll_often(
     own: float, address: str, heard: bool, expected: float
 ) -> None:
-    """With 45 hosts, looks at the row were half of all calls to the table."""
+    """With 45 hosts, polls of the owner's row were half of all calls to the table."""
     members = Membership()
     for number in range(8):
         digest = attrs.evolve(_heartbeat(SMALL), address=f"n{number}:1")
@@ -122,7 +122,7 @@
 
 
 def test_recorded_strength_decays_with_each_takeover() -> None:
-    """A slow owner is better than none: in the end one may take its time."""
+    """A slow owner is better than none: after some tries the limit is lifted."""
     clock, table = ManualClock(time_s=10.0), MemoryFeedTable()
     candidacy = Candidacy(own=SMALL, members=Membership(), clock=clock)
 
@@ -160,7 +160,7 @@
 
 
 def test_deferral_of_a_free_lease_is_bounded() -> None:
-    """The wait begins when the lease is first seen to be free."""
+    """The deferral is counted from when the lease is first seen to be free."""
     clock = ManualClock()
     table = MemoryFeedTable()
 
@@ -185,7 +185,7 @@
 
 
 def test_small_owner_hands_over_to_a_large_host_without_loss() -> None:
-    """What is handed in meanwhile is accepted, and everything runs once."""
+    """Jobs submitted during the handover are accepted, and every task runs once."""
 
     async def run() -> None:
         async with cell() as env:
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""What an owner's memory keeps as it changes, instead of counting it each time."""
+"""State that the cluster state maintains incrementally instead of recomputing it."""
 
 from collections.abc import Callable
 
@@ -154,7 +154,7 @@
 def test_a_given_up_attempt_that_was_done_ends_its_task(
     placed: bool, gang: bool
 ) -> None:
-    """An earlier owner gave it up with its worker's leases; it had been done."""
+    """An earlier owner gave it up when its leases expired, but it had completed."""
     cluster_state = _board()
     cluster_state.fleet.workers["v"] = FleetWorker(entry=entry("v"))
     cluster_state.accept("a", queue(), job(step(2, gang=gang)))
@@ -175,7 +175,7 @@
 
 
 def test_a_given_up_attempt_that_failed_changes_nothing() -> None:
-    """Its failure is not counted: the leases were over before it was known."""
+    """Its failure is not counted, because its leases expired before it was known."""
     cluster_state = _board()
     cluster_state.accept("a", queue(max_attempts=1), job(step()))
     reply = _done("a.0.0.0", 3)
@@ -186,7 +186,7 @@
 
 
 def test_stops_are_due_once_and_only_on_workers_of_the_job() -> None:
-    """A cancelling among hundreds of workers looks at those that run the job."""
+    """Among hundreds of workers, a cancellation visits only those that run the job."""
     cluster_state = _board()
     cluster_state.fleet.workers["v"] = FleetWorker(entry=entry("v"))
     cluster_state.accept("a", queue(), job(step()))
@@ -201,7 +201,7 @@
 
 @pytest.mark.parametrize("lapses", [True, False], ids=["given up", "ended"])
 def test_a_job_ends_once(lapses: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What still counts when a job is cancelled is over some time later."""
+    """Attempts of a cancelled job end later; that must not end the job again."""
     emitted: list[object] = []
     monkeypatch.setattr(cluster_state_module, "emit", emitted.append)
     cluster_state = _board()
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -1,4 +1,4 @@
-"""Bad input: every fault at once, each with its place."""
+"""Invalid input: all faults are reported at once, each with its location."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def places(exc: errors.FindingsError) -> list[str]:
-    """Return the places of the findings with their codes."""
+    """Return the locations of the findings with their codes."""
     return [f"{each.place} {each.code}" for each in exc.findings]
 
 
@@ -33,7 +33,7 @@
     ],
 )
 def test_job_faults(change: dict[str, Any], expected: list[str] | int) -> None:
-    """Each fault of a workload is found, with its field."""
+    """Every fault in a workload is reported with its field."""
     with pytest.raises(errors.FindingsError) as caught:
         unwrap(parse_job({**GOOD_JOB, **change}, place="f"))
     found = places(caught.value)
@@ -41,7 +41,7 @@
 
 
 def test_job_defaults() -> None:
-    """A whole number stands for a fraction; services stay when cut off."""
+    """Integers are accepted as fractions; batch jobs are not kept when cut off."""
     spec = unwrap(parse_job({**GOOD_JOB, "processors": 2}, place="f"))
     assert spec.needs.processors == 2000
     assert not spec.keeps
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("data", [None, 3, [], "text"])
 def test_job_is_an_object(data: Any) -> None:
-    """Anything but an object is refused as a whole."""
+    """Any input other than an object is refused as a whole."""
     with pytest.raises(errors.FindingsError):
         unwrap(parse_job(data, place="f"))
 
@@ -73,13 +73,13 @@
     ],
 )
 def test_selector(text: str, labels: dict[str, str], matches: bool) -> None:
-    """Selectors match as their grammar says."""
+    """Selectors match as their grammar specifies."""
     assert selectors.parse(text, place="f").matches(labels) is matches
 
 
 @pytest.mark.parametrize("text", ["=", "a =", "a in b", "a in ()", "a,,b", "a > 3"])
 def test_selector_faults(text: str) -> None:
-    """A selector that is not well formed is refused."""
+    """A malformed selector is refused."""
     with pytest.raises(errors.FindingsError):
         selectors.parse(text, place="f")
 
@@ -102,14 +102,14 @@
 def test_setting_faults(
     given: dict[str, str], environ: dict[str, str], expected: list[str]
 ) -> None:
-    """Each fault of the settings is found, with its flag or variable."""
+    """Every fault in the settings is reported with its flag or variable."""
     with pytest.raises(errors.FindingsError) as caught:
         settings.load(GatewayOptions, given, environ)
     assert places(caught.value) == expected
 
 
 def test_flag_goes_before_variable() -> None:
-    """A flag wins over the environment; the environment over the default."""
+    """A flag overrides the environment, which overrides the default."""
     given = {"name": "s", "data_centre": "d", "platform": "http://1.2.3.4:5"}
     environ = {"CRANBERRYCLEAT_NAME": "t", "CRANBERRYCLEAT_LEASE_S": "3"}
     cfg = settings.load(SchedulerOptions, given, environ)
@@ -132,7 +132,7 @@
     ],
 )
 def test_configuration_faults(data: dict[str, Any], expected: list[str]) -> None:
-    """Each fault of a configuration is found, with its field."""
+    """Every fault in a configuration is reported with its field."""
     with pytest.raises(errors.FindingsError) as caught:
         unwrap(parse_configuration(data, place="f"))
     assert places(caught.value) == expected
--- a/tests/test_large_writes.py
+++ b/tests/test_large_writes.py
@@ -1,7 +1,7 @@
-"""A large write over a slow link arrives, and the lease that it renews is kept.
+"""A large write over a slow link completes, and the lease that it renews is kept.
 
-The same fault as in `test_large_config` the other way round: what a time limit cuts
-off is begun anew, so that what takes the link longer than the limit never arrives.
+The counterpart of `test_large_config` for writes: if a write is aborted at a time limit
+and restarted, one that takes the link longer than the limit never completes.
 """
 
 import asyncio
@@ -25,16 +25,16 @@
 
 @attrs.define(kw_only=True)
 class SlowUplinkTable(MemoryFeedTable):
-    """A calm table behind a slow link: a write that is broken off never arrives.
+    """A table behind a slow uplink: a write that is aborted is never applied.
 
     Attributes:
-        begun: How many writes set out.
+        started_writes: The number of writes that were started.
     """
 
     started_writes: int = 0
 
     async def commit(self, txn: Transaction) -> CommitReply:
-        """Carry the transaction to the table, then apply it."""
+        """Apply the transaction after its transfer time."""
         self.started_writes += 1
         await asyncio.sleep(txn.size() / LINK_BYTES_S)
         return await MemoryFeedTable.commit(self, txn)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("size", [1_000, 60_000])
 def test_write_in_progress_is_not_restarted(size: int) -> None:
-    """The look at the row says no more than that it has not arrived yet."""
+    """Reading the row back shows only that the write has not been applied yet."""
 
     async def run() -> None:
         table = SlowUplinkTable()
@@ -70,12 +70,12 @@
 def test_transaction_size_is_bounded_by_the_lease(
     link_mbps: float, expected: int
 ) -> None:
-    """Each of the owner's transactions renews its lease."""
+    """Every transaction of the owner renews its lease, so it must not take too long."""
     assert batch_bytes(HostResources(processors=1.0, link_mbps=link_mbps)) == expected
 
 
 def test_a_group_of_large_changes_is_sent_in_parts() -> None:
-    """One that is too large for a transaction alone still goes, by itself."""
+    """A change larger than the limit is still sent, in a transaction of its own."""
 
     async def run() -> None:
         table = MemoryFeedTable()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Events, the sink that never blocks, metrics from events, and `explain`."""
+"""Events, the non-blocking log sink, metrics from events, and `explain`."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 
 def test_documented_events_match_the_module() -> None:
-    """docs/OPERATIONS.md lists every event with its doc line, and no other."""
+    """docs/OPERATIONS.md lists all events with their doc lines, and no others."""
     text = DOCS.read_text()
     table = text[text.index("### Logs") : text.index("### Finding a cause")]
     rows = re.findall(r"^\| `([a-z]+\.[a-z_]+)` \| (.+?) \|$", table, re.M)
@@ -39,7 +39,7 @@
 
 
 def test_event_names_are_unique_and_fields_do_not_shadow_line_fields() -> None:
-    """A line's time, event and host come first; no event has such a field."""
+    """Every line starts with time, event and host; no event may have such a field."""
     names = [kind.name for kind in events.KINDS.values()]
     assert len(names) == len(set(names))
     for cls in events.KINDS:
@@ -52,7 +52,7 @@
 
 
 def test_unread_pipe_does_not_block_the_process() -> None:
-    """Writing goes on at once; what matters least is left out and counted."""
+    """Writing never blocks; the least important lines are dropped and counted."""
     reader, writer = os.pipe()
 
     async def run() -> None:
@@ -84,7 +84,7 @@
 
 
 def test_closed_reader_is_tolerated() -> None:
-    """A closed pipe is no reason to stop."""
+    """A closed pipe must not stop the process."""
     reader, writer = os.pipe()
     os.close(reader)
 
@@ -99,7 +99,7 @@
 
 
 def line(event: object, at: float = 1.0, host: str = "h1") -> str:
-    """Return an event's line as a process writes it."""
+    """Return the log line of an event, as a process writes it."""
     return encode_event(event, events.KINDS[type(event)].name, at, host).decode()
 
 
@@ -119,14 +119,14 @@
 
 
 def placed(waited_s: float) -> events.TaskPlaced:
-    """Return a placement that waited."""
+    """Return a placement event with a waiting time."""
     return events.TaskPlaced(
         task="a.0.0.0", attempt=1, worker="w", waited_s=waited_s, saved=False
     )
 
 
 def waiting(reason: str) -> events.StepWaiting:
-    """Return a step that is left waiting."""
+    """Return an event of a step that keeps waiting."""
     return events.StepWaiting(
         step="a.0.0", reason=reason, pending=1, candidates=0, waited_s=0, slack_s=1
     )
@@ -137,13 +137,13 @@
     [
         (
             [events.JobRefused(job="a", queue="q", reason="cut off", retry_after_s=1)],
-            "refused at the door: cut off",
+            "refused by the front end: cut off",
         ),
         (
             [events.JobUnknown(job="a", queue="q", reason="no time", after_s=2.5)],
-            "given up by the door: no time",
+            "given up by the front end: no time",
         ),
-        ([events.JobMalformed(job="a", queue="q", reason="x")], "not a job: x"),
+        ([events.JobMalformed(job="a", queue="q", reason="x")], "malformed job: x"),
         ([events.JobWithdrawn(job="a", after_s=1)], "withdrawn"),
         (
             [ACCEPTED, STORED, waiting("no room"), placed(3.0), ENDED],
@@ -204,7 +204,7 @@
     ],
 )
 def test_explain_finds_the_deciding_line(told: list[object], expected: str) -> None:
-    """Each way to lose a job is told from its lines, in any order."""
+    """Every cause of a lost job is found from its lines, in any order."""
     lines = [line(event, at=float(at)) for at, event in enumerate(told)]
     found = cause(job_timeline(read_lines(reversed(lines)), "a"))
     assert expected in found.text
@@ -216,18 +216,18 @@
     ["", "no json", "{", "[1]", '{"event":"job.stored"}', '{"event":"what.is.it"}'],
 )
 def test_lines_that_are_no_events_are_skipped(text: str) -> None:
-    """Also half lines and lines of others."""
+    """This includes truncated lines and lines of other programs."""
     assert read_line(text) is None
 
 
 def test_bench_time_prefix_is_parsed() -> None:
-    """Simulated time goes before the process's own."""
+    """The simulated time in the prefix takes precedence over the process's own."""
     entry = read_line("  12.5 frontend-1 " + line(STORED, at=99.0))
     assert entry is not None and entry.at == 12.5
 
 
 def test_explain_command_reads_files_and_summarizes_losses(tmp_path: Path) -> None:
-    """One job's story, and all losses."""
+    """Prints the timeline of one job, and a summary of all losses."""
     path = tmp_path / "log"
     path.write_text(line(ACCEPTED) + line(STORED) + line(placed(3.0)) + line(ENDED))
     one = CliRunner().invoke(main, ["explain", "a", str(path)])
@@ -239,7 +239,7 @@
 
 
 def shown(at: float) -> str:
-    """Return the line of a completed job being shown."""
+    """Return the log line of a completed job's state being reported."""
     event = events.JobShown(job="a", state="completed", after_end_s=0.01)
     return line(event, at=at)
 
@@ -259,7 +259,7 @@
 def test_lateness_is_computed_from_actual_run_times(
     runs: list[tuple[str, str, float]], shown_at: float, expected: int
 ) -> None:
-    """The estimate says 0.5 s; twice the chain and half a second are allowed."""
+    """Allowed are twice the critical path plus 0.5 s, whatever the estimate says."""
     accepted = events.JobAccepted(
         job="a",
         queue="q",
@@ -284,7 +284,7 @@
 
 
 def test_losses_by_window_and_queue(tmp_path: Path) -> None:
-    """In the order of time; an unknown key is said so."""
+    """Rows are ordered by time; an unknown key is rejected."""
     refused = [
         events.JobRefused(job=job, queue=queue, reason="cut off", retry_after_s=1)
         for job, queue in (("a", "q"), ("b", "q"), ("c", "r"), ("d", "q"))
@@ -305,7 +305,7 @@
 
 
 def test_events_are_counted_as_metrics() -> None:
-    """Counters with labels and histograms in seconds, as text."""
+    """Counters have labels and histograms are in seconds, in the text format."""
     metrics = Metrics(role="node", name="n")
     telemetry = Telemetry(metrics=metrics)
     for event in (ACCEPTED, ENDED, placed(0.2), waiting("no room")):
@@ -320,7 +320,7 @@
 def test_lines_are_written_whole_and_in_atomic_pipe_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Of a longer write a part may be cut off, or mixed with another process's."""
+    """A longer write may be truncated, or interleaved with another process's."""
     written: list[bytes] = []
 
     def write(fd: int, data: bytes) -> int:
@@ -348,7 +348,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class _StopsImmediately:
-    """A part that is told to stop as soon as it serves."""
+    """A component that is told to stop as soon as it has started."""
 
     url: str = "http://127.0.0.1:1"
 
@@ -365,7 +365,7 @@
 def test_pending_lines_are_written_at_shutdown(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """Lines gather before they are written; a process that stops writes them."""
+    """Lines are collected before they are written; a stopping process flushes them."""
     logs.set_up(level="info", form="json")
     try:
         asyncio.run(lifecycle.run(_StopsImmediately(), announce="brief"))
