--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,6 +1,6 @@
-"""What a workspace may have running: charged, released, inherited, and kept to.
+"""Quotas of workspaces: charging, releasing, rebuilding at a takeover, enforcing.
 
-A random history is judged by what the workers run, never by the ledger itself.
+The random histories are checked against what the workers run, not against the ledger.
 """
 
 import random
@@ -40,7 +40,7 @@
 
 
 def ledger(quotas: Mapping[str, Amounts] | None = None) -> QuotaLedger:
-    """Return a ledger with a quota for one workspace."""
+    """Return a ledger, by default with a quota for one workspace."""
     given_quotas = {"one": QUOTA} if quotas is None else quotas
     return QuotaLedger(quotas=lambda: given_quotas)
 
@@ -155,7 +155,7 @@
 def test_jobs_that_can_never_fit_the_quota_are_refused(
     spec: WorkflowSpec, expected: bool
 ) -> None:
-    """Its caller is told at once; a wide step runs some tasks after the others."""
+    """The caller is told immediately; a wide step instead runs its tasks in turns."""
     assert bool(quota_violation_reason(spec, QUOTA)) is expected
     assert not quota_violation_reason(spec, None) and not quota_violation_reason(
         spec, NOTHING
@@ -166,7 +166,7 @@
 
 
 def cluster_with_quota(*workers: FleetWorker, quota: Amounts = QUOTA) -> ClusterState:
-    """Return a board on which one workspace has a quota."""
+    """Return a cluster state in which one workspace has a quota."""
     cluster = cluster_state(*workers)
     cluster.quotas.quotas = lambda: {"one": quota}
     return cluster
@@ -175,7 +175,7 @@
 def submit_job(
     cluster: ClusterState, job_id: str, workspace: str, *steps: StepSpec
 ) -> Job:
-    """Hand in a workspace's job."""
+    """Submit a job for a workspace."""
     return cluster.accept(job_id, queue(), job(*steps), workspace=workspace)
 
 
@@ -200,7 +200,7 @@
 
 
 def test_backlog_of_one_workspace_does_not_exhaust_a_round() -> None:
-    """One that sends many times its usual costs the others nothing."""
+    """A workspace that submits far more than usual must not delay the others."""
     cluster = cluster_with_quota(worker("w"), quota=TASK_NEEDS)
     for number in range(MAX_STEPS_SCANNED + 5):
         submit_job(cluster, f"a{number}", "one", step(1))
@@ -214,7 +214,10 @@
 
 @pytest.mark.parametrize("lost", [0, 1], ids=["before it was sent", "unanswered"])
 def test_start_is_withheld_after_the_quota_is_lowered(lost: int) -> None:
-    """Between placing and beginning lie a transaction and maybe seconds."""
+    """A start follows its placement after a transaction, possibly seconds later.
+
+    The quota may be lowered in between.
+    """
 
     async def run() -> None:
         async with cell(workers=1) as env:
@@ -253,19 +256,20 @@
 
 @attrs.define(kw_only=True, eq=False)
 class History:
-    """An owner's board, the rows that are stored, and what the workers truly run.
+    """A model of an owner, its stored rows and its workers, driven by random events.
 
     Attributes:
-        rnd: Draws what happens.
-        quota: What the one workspace may have.
-        running: What each worker runs: attempts by task, with what they take.
-        ended: The ends of each worker that are not acknowledged.
-        late: Orders that are carried out at any later time, with their fences.
-        epoch: The owner's, which fences its orders.
-        fences: The highest fence that each worker has seen.
-        stored: The rows.
-        sent: Attempts that were ordered.
-        faults: What the rule forbids.
+        rng: Chooses the events.
+        quota: The quota of the only workspace.
+        running: The attempts that each worker runs, by task.
+        ended: The ends on each worker that are not acknowledged.
+        void: The highest attempt of each task that may not start on a worker any more.
+        late: Delayed start orders with their fencing epochs.
+        epoch: The epoch of the current owner, which fences its orders.
+        fences: The highest epoch that each worker has seen.
+        stored: The stored rows.
+        faults: Descriptions of the violations that were seen.
+        cluster: The owner's in-memory state.
     """
 
     rng: random.Random
@@ -300,7 +304,7 @@
         self._sent.clear()
 
     def run_steps(self, steps: int) -> None:
-        """Have things happen."""
+        """Run a number of random events."""
         acts = (
             self.submit_job,
             self.submit_job,
@@ -321,7 +325,7 @@
             self.rng.choice(acts)()
 
     def submit_job(self) -> None:
-        """A caller hands in a job."""
+        """Submit a job as a caller."""
         self._jobs += 1
         gang = self.rng.random() < 0.3
         spec = step(self.rng.randint(1, 3), self.rng.choice((500, 1000)), gang=gang)
@@ -329,7 +333,7 @@
         self.cluster.accept(f"j{self._jobs}", queue(), job(spec), workspace="one")
 
     def plan_and_store(self) -> None:
-        """The owner plans, and the table takes what it has to store."""
+        """Plan as the owner, and store the changes."""
         Planner(cluster_state=self.cluster).plan(now=0.0, now_s=NOW_S)
         batch = take_batch(self.cluster)
         self._store(batch)
@@ -341,7 +345,7 @@
             self.stored.pop(key, None)
 
     def order(self) -> None:
-        """Every start that is stored is sent; some come late, or never."""
+        """Send every stored start; some are delivered late, or never."""
         for known in list(self.cluster.fleet.workers.values()):
             for placement in list(known.placements.values()):
                 self._order(known, placement)
@@ -362,7 +366,7 @@
             self._begin(on.name, *key, self.epoch)
 
     def carry_out_late(self) -> None:
-        """A worker carries out an order that it left unanswered."""
+        """Deliver a delayed start to its worker."""
         if self.late:
             self._begin(*self.late.pop(self.rng.randrange(len(self.late))))
 
@@ -385,7 +389,7 @@
         return self._sizes[job_of(task)]
 
     def end_running_tasks(self) -> None:
-        """What runs on a worker ends."""
+        """End some attempts that run on a worker."""
         name = self.rng.choice(sorted(self.running))
         for task in list(self.running[name]):
             if self.rng.random() < 0.5:
@@ -402,7 +406,7 @@
         self.ended[name].append(end)
 
     def sync_worker(self) -> None:
-        """The owner hears a worker's lists, and its stops reach it."""
+        """Sync the owner with a worker and deliver its stops."""
         name = self.rng.choice(sorted(self.running))
         known = self.cluster.fleet.workers[name]
         known.liveness = Liveness.LIVE
@@ -428,12 +432,12 @@
             placement.began(0.0)
 
     def cancel(self) -> None:
-        """A caller cancels a job."""
+        """Cancel a job as a caller."""
         if self._jobs:
             self.cluster.cancel(f"j{self.rng.randint(1, self._jobs)}")
 
     def lose_worker(self) -> None:
-        """A worker's leases are over: nothing runs there, and no order counts."""
+        """Expire the leases of a worker: attempts end and delayed starts are void."""
         name = self.rng.choice(sorted(self.running))
         self.running[name].clear()
         self.late = [each for each in self.late if each[0] != name]
@@ -442,7 +446,7 @@
         self.cluster.give_up_all(known, LossCause.SILENT)
 
     def take_over(self) -> None:
-        """Another owner goes by the rows; it has met no worker yet."""
+        """Take over as a new owner, from the rows alone and without any sync yet."""
         self._new_board()
         self.epoch += 1
         jobs, specs = tuple(
@@ -452,12 +456,12 @@
         self.cluster.adopt(0.0)
 
     def change_quota(self) -> None:
-        """The operator lowers the quota far, or raises it again."""
+        """Lower the quota sharply, or restore it, as an operator."""
         self.quota = QUOTA if self.quota != QUOTA else Amounts(processors=500)
 
 
 def rows_of_table(stored: Mapping[str, str], table: str) -> tuple[Row, ...]:
-    """Return a table's rows."""
+    """Return the rows of a table."""
     return tuple(
         Row(key=key, value=value, version=1)
         for key, value in stored.items()
@@ -465,8 +469,8 @@
     )
 
 
-# Guards against a workspace that runs more than it may after a takeover (QUOTA): a job
-# that was cancelled has attempts at work until they are heard to have stopped.
+# Guards against exceeding a quota after a takeover (QUOTA): attempts of a cancelled job
+# go on running, and using quota, until their workers report that they have stopped.
 def test_successor_charges_and_stops_attempts_of_ended_jobs() -> None:
     history = History(rng=random.Random(1))
     for each in history.cluster.fleet.workers.values():
@@ -493,7 +497,7 @@
 @example(seed=329)
 @settings(max_examples=60, deadline=None)
 def test_random_history_never_exceeds_the_quota(seed: int) -> None:
-    """Through starts, ends, losses, takeovers, cancellings and late orders."""
+    """Covers starts, ends, lost workers, takeovers, cancellations and late starts."""
     history = History(rng=random.Random(seed))
     history.run_steps(150)
     assert not history.faults
@@ -503,4 +507,4 @@
         history.cluster.give_up_all(
             history.cluster.fleet.workers[name], LossCause.SILENT
         )
-    assert not history.cluster.quotas.charges, "a charge is never released"
+    assert not history.cluster.quotas.charges, "a charge was never released"
--- a/tests/test_revoked_keys.py
+++ b/tests/test_revoked_keys.py
@@ -1,7 +1,7 @@
-"""Keys that are taken away while hosts are cut off: whole nodes, one open connection.
+"""Keys revoked while a host is partitioned: complete nodes and a persistent connection.
 
-What is wrong otherwise: a caller is served with a key that the operator has taken away,
-by a host that cannot know, or is told that a good key is bad.
+Guards against a host that cannot know of a revocation and keeps serving the revoked key
+beyond the bound, or that rejects a valid key.
 """
 
 import attrs
@@ -18,20 +18,20 @@
 from tests.test_node import nodes
 
 REVOKE_BOUND_S = 2.8 + REVOKED_KEY_MARGIN_S
-"""An answer tells of when its question was sent, 1 s before, and the next comes 1 s
-later; the owner's word is 0.3 s older."""
+"""Polls confirm the configuration as of when they were sent, up to 1 s earlier, and the
+next answer arrives 1 s later; the confirmation by the owner adds 0.3 s."""
 WITHOUT_KEY_2 = config_of(workspace("one", "key-1"), workspace("two", "key-3"))
 VERSIONS = {1: TWO_WORKSPACES, 2: TWO_WORKSPACES, 3: WITHOUT_KEY_2}
 
 
 def read(row: Row) -> ClusterConfig:
-    """Return the configuration of a version."""
+    """Return the configuration for the version in a row."""
     version = int(row.value)
     return attrs.evolve(VERSIONS[version], version=version)
 
 
 async def require_keys(running: list[Node], env: Cell) -> None:
-    """Have every node follow a configuration with workspaces."""
+    """Have every node load a configuration with workspaces."""
     for node in running:
         node._config.follower.read = read
         node._access.revoke_bound_s = REVOKE_BOUND_S
@@ -40,7 +40,7 @@
 
 
 async def ask(http: HttpClient, node: Node, key: str) -> HttpReply:
-    """Ask for a queue over a connection that stays open."""
+    """Request a queue over a connection that stays open."""
     return await http.call(
         "GET",
         f"http://{node.adapter.settings.front}/q/",
@@ -49,8 +49,8 @@
     )
 
 
-# Guards against a key that is good on a host that is cut off (CONFIG), and against a
-# host that refuses though the owner's word confirms what it holds.
+# Guards against a revoked key that stays valid on a partitioned host (CONFIG), and
+# against a host that refuses although the owner confirms its configuration.
 def test_host_without_the_table_serves_until_the_revocation_bound() -> None:
     async def run() -> None:
         http = HttpClient()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""A takeover that takes long, and what the successor makes of what it finds."""
+"""Slow takeovers, and the state that a successor restores from the stored rows."""
 
 import asyncio
 from typing import Any
@@ -40,18 +40,18 @@
 
 @attrs.define(kw_only=True)
 class SlowScanTable(MemoryFeedTable):
-    """A table that takes long to read, as over a slow link."""
+    """A table that is slow to read, as over a slow link."""
 
     scan_s: float = 0.0
 
     async def scan(self, *, prefix: str) -> tuple[Row, ...]:
-        """Read slowly."""
+        """Scan after a delay."""
         await asyncio.sleep(self.scan_s)
         return await MemoryFeedTable.scan(self, prefix=prefix)
 
 
 def test_takeover_read_longer_than_lease_keeps_ownership() -> None:
-    """Otherwise each successor of a large table is deposed in its takeover."""
+    """Without renewals during the read, every successor on a large table is deposed."""
 
     async def run() -> None:
         table = SlowScanTable(scan_s=3 * OWNER_LEASE_S)
@@ -67,18 +67,21 @@
 
 @attrs.define(kw_only=True)
 class SlowCommitTable(MemoryFeedTable):
-    """A table in which a transaction takes a while."""
+    """A table in which every transaction is delayed."""
 
     each_s: float = 0.0
 
     async def commit(self, txn: Transaction) -> CommitReply:
-        """Commit slowly."""
+        """Commit after a delay."""
         await asyncio.sleep(self.each_s)
         return await MemoryFeedTable.commit(self, txn)
 
 
 def test_handover_does_not_wait_until_all_changes_are_stored() -> None:
-    """In a slow store and a burst there is always something; the lease ran out."""
+    """On a slow store under a burst some change is always unstored.
+
+    A handover that waited for all of them let the lease expire instead.
+    """
 
     async def run() -> None:
         table = SlowCommitTable()
@@ -102,7 +105,7 @@
 
 
 def test_slow_reader_releases_ownership_to_another_host() -> None:
-    """Its renewals went on while nobody decided anything: 27 s, 699 jobs."""
+    """A slow reader renewed its lease for 27 s and scheduled nothing (699 jobs)."""
 
     async def run() -> None:
         table = SlowScanTable(scan_s=60.0)
@@ -121,7 +124,7 @@
 
 @pytest.mark.parametrize("lands", [True, False], ids=["written", "lost"])
 def test_changes_after_an_unanswered_write_are_stored(lands: bool) -> None:
-    """The sequence of the earlier write must not stand for the later changes."""
+    """The sequence number of the earlier write must not confirm the later changes."""
 
     async def run() -> None:
         table = MemoryTable()
@@ -162,7 +165,7 @@
 
 
 def _holders(count: int) -> list[OwnershipLease]:
-    """Return processes that follow each other on evidence, at once."""
+    """Return processes that each consider the previous holder dead at once."""
     clock, table = ManualClock(), MemoryTable()
     return [
         OwnershipLease(
@@ -183,7 +186,7 @@
 def test_chained_takeovers_wait_for_the_first_owner(
     released: bool, commits: int
 ) -> None:
-    """Who follows a short-lived owner waits for the one before it all the same."""
+    """The successor of a short-lived owner still waits for the owner before that."""
     first, second, third = _holders(3)
     first.lease_s = 2.9
     run_async(first.acquire())
@@ -201,7 +204,10 @@
 
 
 def test_inbox_jobs_keep_their_acceptance_time() -> None:
-    """Work that waited there must not go before work that can still be in time."""
+    """Time in the inbox counts against the objective, which orders the jobs.
+
+    A late job must not be ranked ahead of work that can still meet its objective.
+    """
 
     async def run() -> None:
         async with cell() as env:
@@ -220,7 +226,7 @@
 
 
 def test_adopted_attempt_has_a_finite_run_time() -> None:
-    """It counts as running since for ever, but its run time is a finite figure."""
+    """`running_since` is minus infinity, but the logged run time must be finite."""
     adopted = Placement(
         task="a.0.0.0",
         attempt=1,
@@ -235,7 +241,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class TwoRowPages(HttpClient):
-    """Answers with pages of a table; some calls get no answer."""
+    """Returns a table in pages of two rows; some calls are not answered."""
 
     keys: tuple[str, ...] = ("a", "b", "c")
     unanswered: list[int] = attrs.field(factory=list)
@@ -267,7 +273,7 @@
 def test_only_the_unanswered_page_is_read_again(
     unanswered: list[int], calls: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A slow link that drops one page must not begin the whole table anew."""
+    """A slow link that drops one page must not restart the read of the whole table."""
     monkeypatch.setattr(store, "PAGE_PAUSE_S", 0.0)
     http = TwoRowPages(unanswered=unanswered)
     found = run_async(PlatformStore(address="x:1", http=http).snapshot(table="jobs"))
@@ -276,7 +282,7 @@
 
 
 def test_attempts_of_unreadable_jobs_are_left_running() -> None:
-    """Its runs are not stopped, and its ends stay with their worker."""
+    """Attempts of jobs of another version are neither stopped nor acknowledged."""
     cluster_state = ClusterState(time_of_day=lambda: 1000.0, now=lambda: 0.0)
     worker = FleetWorker(entry=entry("w"), liveness=Liveness.LIVE)
     cluster_state.fleet.add(worker)
--- a/tests/test_workflow.py
+++ b/tests/test_workflow.py
@@ -1,4 +1,4 @@
-"""Jobs of several steps, through an owner, a table and workers in memory."""
+"""Jobs of several steps, run with an owner, a table and workers in memory."""
 
 import asyncio
 import contextlib
@@ -29,12 +29,12 @@
 
 
 def state(owner: Owner, job_id: str) -> str:
-    """Return the state that callers are told."""
+    """Return the state reported to callers."""
     return owner.state(job_id).state
 
 
 def test_steps_run_in_order() -> None:
-    """A step starts only after every task of the steps that it names is done."""
+    """A step starts only after every task of the steps it depends on is done."""
 
     async def run() -> None:
         async with cell() as env:
@@ -51,7 +51,7 @@
 
 
 def test_gang_starts_and_restarts_as_a_whole() -> None:
-    """Members share an attempt; one that fails takes the others with it."""
+    """Members share an attempt number; if one fails, all are stopped and restarted."""
 
     def work(task: str, attempt: int) -> SimulatedWork:
         if attempt == 1 and task.endswith(".0"):
@@ -76,7 +76,7 @@
 
 
 def test_failed_attempts_are_counted_and_end_the_job() -> None:
-    """A task that fails as often as its queue allows fails its job."""
+    """A task that fails `max_attempts` times fails its job."""
 
     async def run() -> None:
         async with cell() as env:
@@ -92,7 +92,7 @@
 
 
 def test_capacity_is_never_exceeded_under_backlog() -> None:
-    """Workers that start whatever they are told are never told too much."""
+    """Workers start every task they are sent, so the owner must respect capacity."""
 
     async def run() -> None:
         async with cell() as env:
@@ -109,7 +109,7 @@
 
 
 def test_order_without_answer_is_sent_again_and_runs_once() -> None:
-    """A start that got no answer and is carried out late changes nothing."""
+    """An unanswered start that the worker executes late must have no effect."""
 
     async def run() -> None:
         async with cell(workers=1) as env:
@@ -126,7 +126,7 @@
 
 
 def test_start_refused_after_no_answer_is_voided_first() -> None:
-    """An earlier copy of a refused start can never run beside its successor."""
+    """An earlier copy of a refused start must never run beside the next attempt."""
 
     async def run() -> None:
         async with cell(workers=2) as env:
@@ -148,10 +148,10 @@
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_successor_adopts_running_tasks(kept: bool) -> None:
-    """After an owner's death nothing starts twice; a silent worker is waited for."""
+    """After an owner's death no task starts twice, even with a silent worker."""
 
     async def run() -> None:
-        # The third worker has room at once: only the wait keeps tasks off it.
+        # The third worker has free capacity: only the successor's wait keeps tasks off.
         async with cell(workers=3, worker_lease_s=2.0) as env:
             env.fleet.work = lambda task, attempt: SimulatedWork(
                 seconds=0.9 if kept else 4
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("listed", [True, False])
 def test_tasks_of_a_silent_worker_are_rescheduled(listed: bool) -> None:
-    """Its leases run out, asking it again and again does not renew them."""
+    """Its leases expire: sync requests to a silent worker do not renew them."""
 
     async def run() -> None:
         async with cell(workers=2) as env:
@@ -189,14 +189,14 @@
             await until(lambda: state(owner, "a") == "completed")
             env.fleet.advance_all()
             assert {each.worker for each in env.fleet.starts[4:]} == {"w1"}
-            # What ended unseen before its lease was over may run once more.
+            # A task whose end was not seen before its lease expired may run once more.
             assert not [each for each in env.fleet.faults if "twice" in each]
 
     run_async(run())
 
 
 def test_unanswered_start_keeps_its_lease_bound() -> None:
-    """The order is sent again unchanged: its bound passes, the task goes elsewhere."""
+    """The start is resent with the same lease end, after which the task moves."""
 
     async def run() -> None:
         async with cell(workers=1) as env:
@@ -215,7 +215,7 @@
 
 
 def test_release_waits_for_the_transaction_in_progress() -> None:
-    """An owner that is told to stop releases, so that nobody waits for a lease."""
+    """A stopping owner releases its lease, so that no successor waits for it."""
 
     async def run() -> None:
         async with cell() as env:
@@ -235,7 +235,7 @@
 
 
 def test_a_cancelled_job_stops_and_never_starts_again() -> None:
-    """Cancelling is stored, running tasks are stopped, waiting ones never start."""
+    """A cancellation is stored, running tasks stop, and waiting tasks never start."""
 
     async def run() -> None:
         async with cell(workers=1) as env:
@@ -253,7 +253,7 @@
 
 
 def test_permits_are_obtained_before_a_start() -> None:
-    """A queue with permits starts only where and while one is valid."""
+    """A queue with permits starts tasks only where and while a permit is valid."""
     policy = PermitTiming(decide_s=0.01, each_s=0.001, valid_s=0.6)
 
     async def run() -> None:
@@ -263,7 +263,7 @@
             rules = queue(permits=policy)
             await submit(owner, "p", job(step(8, processors=1000)), rules)
             await until(lambda: state(owner, "p") == "completed")
-            # Asked once for all workers, and once more when it had aged.
+            # Requested once for all workers, and again after the permits had expired.
             assert len(env.permits.calls) >= 2
             assert env.fleet.faults == []
 
@@ -273,7 +273,7 @@
 def test_a_job_that_was_never_sent_to_the_table_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With the table down, only jobs of the transaction under way are unknown."""
+    """With the table down, only jobs in the transaction in progress are undecided."""
     monkeypatch.setattr("cranberrycleat.workflow.owner.CHANGE_LIMIT_S", 1.5)
 
     async def run() -> None:
@@ -300,7 +300,7 @@
 
 
 def test_start_is_sent_after_its_placement_is_stored() -> None:
-    """Whoever takes over must know where every task may run."""
+    """A successor must know every worker on which a task may run."""
     stored: list[bool] = []
 
     async def run() -> None:
@@ -325,7 +325,7 @@
 
 
 def test_worker_with_an_unanswered_start_gets_no_more_work() -> None:
-    """What would be placed there meanwhile had to wait for a whole lease."""
+    """A task placed there would have to wait until a whole lease expires."""
 
     async def run() -> None:
         async with cell(workers=1) as env:
@@ -345,7 +345,7 @@
 
 
 def test_workers_of_a_silent_data_centre_get_no_work() -> None:
-    """No host there is heard any more: it is cut off, and so are its workers."""
+    """No host of the data centre is heard from, so its workers are unreachable too."""
 
     async def run() -> None:
         async with cell(workers=2) as env:
@@ -367,7 +367,7 @@
 
 
 def test_background_task_restarts_after_an_exception() -> None:
-    """An unforeseen fault ends neither a loop nor the process."""
+    """An unexpected exception ends neither a background loop nor the process."""
     runs: list[int] = []
 
     async def work() -> None:
@@ -385,7 +385,7 @@
 
 
 def test_a_fault_while_storing_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The owner gives up, and what was stored goes on in a new epoch."""
+    """The owner gives up the ownership; stored jobs continue in a new epoch."""
 
     async def run() -> None:
         async with cell() as env:
@@ -411,12 +411,12 @@
 
 
 def test_leaving_worker_gets_no_more_starts() -> None:
-    """What was placed there and is not stored yet goes elsewhere."""
+    """A task placed there whose placement is not stored yet moves elsewhere."""
 
     async def run() -> None:
         async with cell(workers=1) as env:
             owner = await env.own()
-            # Storing takes far longer than the test needs to have it leave.
+            # Storing takes far longer than marking the worker as leaving.
             env.table.faults.slow_s = 0.3
             handed_in = asyncio.create_task(submit(owner, "a", job(step(1))))
             await until(
@@ -435,7 +435,7 @@
 
 
 def test_unanswered_start_is_voided_when_its_worker_leaves() -> None:
-    """Sent again, it would begin something on a worker that is leaving."""
+    """If it were resent, a task would start on a worker that is leaving."""
 
     async def run() -> None:
         async with cell(workers=1) as env:
@@ -456,7 +456,7 @@
 
 
 def test_worker_with_attempts_of_unknown_size_gets_no_work() -> None:
-    """Two that nobody knows any more: the end of one frees nothing yet."""
+    """With two orphaned attempts, the end of one does not make the worker usable."""
     cluster = cluster_state(make_worker("w"))
     only = cluster.fleet.workers["w"]
     lists = [
@@ -485,7 +485,7 @@
 
 
 def test_worker_listed_again_after_a_takeover_is_synced() -> None:
-    """The list may lack a worker when an owner takes over; its work is adopted."""
+    """A worker may be missing from the list at a takeover; its work is adopted."""
 
     async def run() -> None:
         async with cell(workers=2) as env:
@@ -511,7 +511,7 @@
 def test_worker_lost_before_its_placement_is_stored_blocks_no_other(
     gang: bool,
 ) -> None:
-    """In a slow table a worker may be gone before what it was given is stored."""
+    """With a slow table, a worker may be lost before its placement is stored."""
 
     async def run() -> None:
         async with cell(workers=3) as env:
--- a/tests/test_writes.py
+++ b/tests/test_writes.py
@@ -1,4 +1,4 @@
-"""Grouped writes, claims and configuration: lost replies, races, outages."""
+"""Batched writes, claims and configuration: lost replies, races, outages."""
 
 import asyncio
 
@@ -23,14 +23,14 @@
 
 
 def change(key: str, value: str, version: int = ABSENT) -> Change:
-    """Return a change of one row."""
+    """Return a conditional change of one row."""
     return Change(
         check=Check(key=key, version=version), put=Put(key=key, value=f'"{value}"')
     )
 
 
 def write_all(table: MemoryTable, *changes: Change) -> list[object]:
-    """Write changes at the same time and return their results' types."""
+    """Write changes concurrently and return the types of their results."""
 
     async def write_concurrently() -> list[object]:
         writer = BatchingWriter(table=table, batch_window_s=0)
@@ -40,7 +40,7 @@
 
 
 def test_many_changes_are_one_transaction() -> None:
-    """Changes that come together cost one write."""
+    """Concurrent changes are combined into one write."""
     table = MemoryTable()
     assert (
         write_all(table, *[change(f"k{n}", "x") for n in range(50)]) == [Committed] * 50
@@ -49,7 +49,7 @@
 
 
 def test_a_loser_does_not_hold_up_the_others() -> None:
-    """A change whose condition fails is taken out; the rest is written."""
+    """A change whose condition fails is removed; the others are still written."""
     table = MemoryTable()
     write_all(table, change("b", "first"))
     assert write_all(
@@ -68,7 +68,7 @@
     ("lost", "expected"), [(1, Committed), (2, Committed), (3, OutcomeUnknown)]
 )
 def test_lost_replies_are_settled(lost: int, expected: object) -> None:
-    """A change that took effect unanswered is told from one that lost."""
+    """A change that was applied but not answered is distinguished from a lost one."""
     table = MemoryTable()
     table.faults.lose_replies = lost
     if lost == 3:
@@ -77,7 +77,7 @@
 
 
 def test_writes_fail_fast_after_a_table_failure() -> None:
-    """While the table is known to be out of reach nothing is tried, for a while."""
+    """After a failure, writes are not attempted again for `FAILURE_BACKOFF_S`."""
     table, clock = MemoryTable(), ManualClock(time_s=50.0)
     writer = BatchingWriter(table=table, batch_window_s=0, clock=clock)
 
@@ -95,12 +95,12 @@
 
 
 def make_claims(table: MemoryTable) -> ClaimStore:
-    """Return a gateway's claims."""
+    """Return the claims of a gateway."""
     return ClaimStore(writer=BatchingWriter(table=table, batch_window_s=0))
 
 
 def outcome(table: MemoryTable, mark: str = "m") -> str:
-    """Claim key `k` as a fresh gateway would; say what came of it."""
+    """Claim key `k` as a newly started gateway; return the outcome."""
     try:
         found = run_async(make_claims(table).claim(key="k", mark=mark))
     except errors.ProblemError as exc:
@@ -109,7 +109,7 @@
 
 
 def test_a_key_is_claimed_once() -> None:
-    """Of two gateways one sends; a different request is told apart."""
+    """Only one of two gateways sends; a different request is rejected as key reuse."""
     table = MemoryTable()
     assert outcome(table) == Claim.__name__
     assert outcome(table) == errors.KEY_IN_USE
@@ -120,7 +120,7 @@
     ("answered", "expected"), [(True, Replay.__name__), (False, Claim.__name__)]
 )
 def test_a_settled_claim(answered: bool, expected: str) -> None:
-    """An answer is replayed; what was proved not run may run."""
+    """A recorded answer is replayed; a request proved not to have run may run."""
     table = MemoryTable()
 
     async def record_outcome() -> None:
@@ -135,7 +135,7 @@
 
 
 def test_claim_without_a_table_is_not_run() -> None:
-    """In an outage the answer is 'not run' at once."""
+    """During an outage the claim fails immediately with 'not run'."""
     table = MemoryTable()
     table.faults.down = True
     assert outcome(table) == errors.NOT_RUN
@@ -143,7 +143,7 @@
 
 
 def test_claim_survives_a_lost_reply() -> None:
-    """A claim that took effect unanswered is this gateway's and nobody else's."""
+    """A claim that was applied but not answered belongs to this gateway alone."""
     table = MemoryTable()
     table.faults.lose_replies = 1
     assert outcome(table) == Claim.__name__
@@ -151,7 +151,7 @@
 
 
 def propose(table: MemoryTable, text: str, made_from: int) -> int | str:
-    """Propose a configuration; return its version or the refusal's code."""
+    """Propose a configuration; return its version or the error code."""
     try:
         watcher = ConfigWatcher(table=table)
         return run_async(watcher.propose(text=text, made_from=made_from)).version
@@ -160,7 +160,7 @@
 
 
 def test_racing_operators() -> None:
-    """Of two changes made from one version one wins, and the other is told."""
+    """Of two changes based on one version, one wins and the other gets an error."""
     table = MemoryTable()
     assert propose(table, "1", 0) == 1
     assert propose(table, "2", 0) == errors.STALE_VERSION
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize(("lost", "expected"), [(1, 1), (2, 1)])
 def test_accepted_change_with_a_lost_reply(lost: int, expected: int) -> None:
-    """A change that took effect unanswered is accepted once."""
+    """A change that was applied but not answered is accepted exactly once."""
     table = MemoryTable()
     table.faults.lose_replies = lost
     assert propose(table, "1", 0) == expected
@@ -178,7 +178,7 @@
 
 
 def test_unanswered_change_is_not_called_accepted() -> None:
-    """Where no answer comes at all, the outcome is said to be unknown."""
+    """If the table never answers, the outcome is reported as unknown."""
     late = DelayedTable(delay_commits=True)
     watcher = ConfigWatcher(table=late)
     with pytest.raises(errors.ProblemError) as caught:
@@ -191,7 +191,7 @@
     ("offered", "held"), [([3, 1], 3), ([1, 3, 2], 3), ([2, 2], 2)]
 )
 def test_configuration_never_reverts(offered: list[int], held: int) -> None:
-    """Whatever order versions come in, the highest is held."""
+    """The highest version is kept, in whatever order versions arrive."""
     watcher = ConfigWatcher(table=MemoryTable())
     for version in offered:
         watcher.offer(ConfigDocument(version=version, text="{}"))
