--- a/cranberrycleat/__init__.py
+++ b/cranberrycleat/__init__.py
@@ -1,9 +1,8 @@
-"""Cranberrycleat: a cluster scheduler for unlike workloads.
+"""Cranberrycleat: a cluster scheduler for mixed workloads.
 
-The package is flat: one module per concern, named by the thing it does. The
-modules `lease`, `writer`, `retry`, `slots`, `watcher` and `book` are a library
-that other programs may embed; they take their clock and their table as
-arguments and import nothing of the daemons.
+The package has one module per concern. The modules `lease`, `writer`, `retry`, `slots`,
+`watcher` and `inventory` form a library that other programs can embed: they take their
+clock and table as arguments and import nothing from the daemons.
 """
 
 from typing import Final
--- a/cranberrycleat/asgi.py
+++ b/cranberrycleat/asgi.py
@@ -1,7 +1,7 @@
-"""Plain ASGI: the few lines that a process with fixed calls needs of HTTP.
+"""Minimal ASGI support for processes with a fixed set of calls.
 
-For the node, which is restarted often on small hosts: litestar adds 0.2 s to
-each start (docs/PLATFORM.md) and costs twice the time a request.
+Used by the node, which is restarted often on small hosts: litestar adds 0.2 s to each
+start (docs/PLATFORM.md) and takes twice the time per request.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """An answer: a message, sent as JSON, and headers beside the usual ones."""
+    """An HTTP response: a message, sent as JSON, and additional headers."""
 
     message: object
     status: int = OK
@@ -29,7 +29,7 @@
 
 @attrs.frozen(kw_only=True)
 class ErrorBody:
-    """The body of an answer to a request that cannot be served."""
+    """Body of the response to a request that cannot be served."""
 
     reason: str
 
@@ -38,7 +38,7 @@
 
 
 async def read_body(receive: Any, *, max_bytes: int = MAX_BODY_BYTES) -> bytes | None:
-    """Return a request's whole body, or None if it is too large."""
+    """Return a request's complete body, or None if it is too large."""
     parts: list[bytes] = []
     size = 0
     while True:
@@ -54,7 +54,7 @@
 
 
 async def send_answer(send: Any, answer: Answer) -> None:
-    """Send a whole answer."""
+    """Send a complete HTTP response."""
     message = answer.message
     data = message if isinstance(message, bytes) else codec.encode(message)
     headers = [
@@ -73,10 +73,10 @@
 
 @attrs.define(kw_only=True, eq=False)
 class RpcApp:
-    """An ASGI app of fixed calls, each with one message in and one out.
+    """An ASGI app with a fixed set of calls, each with one request and one reply.
 
     Attributes:
-        handlers: What answers each path.
+        handlers: The handler of each path.
     """
 
     handlers: dict[str, Handler]
--- a/cranberrycleat/clock.py
+++ b/cranberrycleat/clock.py
@@ -1,7 +1,7 @@
-"""Clocks: where every part of the system gets its time from.
+"""Clocks, the only source of time for all other modules.
 
-No other part calls `time` itself. Leases are counted on a monotonic clock, which no
-operator and no time service can set back, and tests hand in a `ManualClock`.
+Leases are measured on a monotonic clock, which neither an operator nor a time service
+can set back. Tests inject a `ManualClock`.
 """
 
 import time
@@ -11,18 +11,18 @@
 import attrs
 
 MIN_CLOCK_JUMP_S: Final = 0.25
-"""A larger difference between two looks at the time of day, a planning round or a few
-apart, is no correction but a jump; smaller ones cost short work nothing."""
+"""A larger change of the offset between two readings, which are one or a few planning
+rounds apart, is a jump and not a correction; smaller changes do not harm short jobs."""
 JUMP_CONFIRMATION_S: Final = 15.0
-"""How long a jump must have stayed: longer than the platform's jumps that are taken
-back (6 s), short against schedules, which go by minutes."""
+"""How long a jump must persist to be accepted: longer than the platform's temporary
+jumps (6 s), and short compared with schedules, which have a resolution of minutes."""
 
 
 class Clock(Protocol):
     """A source of monotonic time."""
 
     def now(self) -> float:
-        """Return seconds since an arbitrary fixed start; never decreases."""
+        """Return seconds since an arbitrary fixed point; never decreases."""
 
 
 class MonotonicClock:
@@ -34,33 +34,33 @@
 
 
 class BootClock:
-    """The clock that also counts time for which the host was suspended.
+    """A monotonic clock that also counts time while the host is suspended.
 
-    The monotonic clock may stand still while a host is suspended; an owner
-    that wakes would think that its lease still runs.
+    The plain monotonic clock may stop while a host is suspended; an owner that
+    resumes would then consider its expired lease still valid.
     """
 
     def now(self) -> float:
-        """Return the time since the host's start, in seconds."""
+        """Return the time since the host's boot, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def time_of_day() -> float:
-    """Return the host's time of day, in seconds since 1970; it may step."""
+    """Return the host's wall-clock time, in seconds since 1970; it may step."""
     return time.time()
 
 
 @attrs.define(kw_only=True, eq=False)
 class WallClock:
-    """The time of day as one process decides by it: a jump counts once it has stayed.
+    """The wall-clock time used for decisions, which accepts only persistent jumps.
 
-    A host whose clock jumps by seconds, and often back again, would take the jump for
-    time that has passed, and short work for worthless. The time goes on by the steady
-    clock instead; slow corrections are followed.
+    A host's clock may jump by seconds, and often back again. A process that took the
+    jump for elapsed time would consider short jobs too late to be worth running. So
+    the time continues on the monotonic clock; slow corrections are followed.
 
     Attributes:
-        steady: Counts the time that passes.
-        wall: Tells the host's time of day.
+        steady: A monotonic clock.
+        wall: Returns the host's wall-clock time.
     """
 
     steady: Clock = attrs.field(factory=BootClock)
@@ -90,7 +90,7 @@
 
 @attrs.define(kw_only=True)
 class ManualClock:
-    """A clock that moves only when it is told to, for tests and benches.
+    """A clock that is advanced explicitly, for tests and benchmarks.
 
     Attributes:
         time_s: The current time in seconds.
@@ -99,15 +99,15 @@
     time_s: float = 0.0
 
     def now(self) -> float:
-        """Return the time that was last set."""
+        """Return the current time of this clock."""
         return self.time_s
 
     def advance(self, *, seconds: float) -> None:
-        """Move the clock forward.
+        """Advance the clock.
 
         Args:
-            seconds: How far, in seconds; must not be negative.
+            seconds: The amount in seconds; must not be negative.
         """
         if seconds < 0:
-            raise ValueError("a monotonic clock does not go back")
+            raise ValueError("cannot move a monotonic clock back")
         self.time_s += seconds
--- a/cranberrycleat/config.py
+++ b/cranberrycleat/config.py
@@ -1,8 +1,7 @@
-"""The configuration document: what operators change while everything runs.
+"""The configuration document, which operators can change at run time.
 
-The platform keeps it (see `watcher`); this module says what it may hold and
-checks a whole document at once. Settings that a process starts with are not
-here but in `options`.
+The platform stores it (see `watcher`); this module defines its contents and validates
+a whole document at once. Settings that a process reads at start are in `options`.
 """
 
 from typing import Any
@@ -16,15 +15,15 @@
 
 @attrs.frozen(kw_only=True)
 class RoutingConfig:
-    """How gateways treat requests.
+    """Request routing by gateways.
 
     Attributes:
-        retry_share: Retries allowed for each request that was answered.
-        queue_s: The longest a request waits for a free slot, in seconds.
-        timeout_s: The time allowed for a request that names none, in seconds.
-        eject_after: Failures in a row before an endpoint is left out.
-        eject_s: For how long, in seconds.
-        eject_most: The largest share of a service's endpoints left out at once.
+        retry_share: Number of retries allowed per answered request.
+        queue_s: Maximum time a request waits for a free slot, in seconds.
+        timeout_s: Timeout of requests that specify none, in seconds.
+        eject_after: Consecutive failures after which an endpoint is ejected.
+        eject_s: Ejection time, in seconds.
+        eject_most: Maximum fraction of a service's endpoints ejected at once.
     """
 
     retry_share: float = 0.1
@@ -37,12 +36,12 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementConfig:
-    """How schedulers weigh placements.
+    """Placement policy of schedulers.
 
     Attributes:
-        weight: `waiting` or `packing`: what goes first where they conflict.
-        quotas: For each team, the largest dominant share it may use; a team
-            that is not named may use everything.
+        weight: `waiting` or `packing`: which goal takes precedence when they conflict.
+        quotas: Maximum dominant share per team; a team without an entry may use all
+            resources.
     """
 
     weight: str = "waiting"
@@ -63,14 +62,14 @@
 def parse_configuration(
     data: Any, *, place: str
 ) -> Result[Configuration, tuple[errors.Finding, ...]]:
-    """Check a configuration document.
+    """Parse and validate a configuration document.
 
     Args:
         data: The decoded JSON or TOML value.
-        place: What to call the input in findings.
+        place: Name of the input in findings.
 
     Returns:
-        The configuration, or every fault found.
+        The configuration, or all faults found.
     """
     match structure(data, Configuration, place=place):
         case Success(cfg):
--- a/cranberrycleat/documents.py
+++ b/cranberrycleat/documents.py
@@ -1,4 +1,4 @@
-"""Reads the files that people write: workloads, configuration, cells."""
+"""Readers for user-written files: workloads and configuration."""
 
 import tomllib
 from pathlib import Path
@@ -11,14 +11,14 @@
 from cranberrycleat.jobs import JobSpec, parse_job, unwrap
 
 MAX_FILE_BYTES: Final = 1024 * 1024
-"""The largest file that is read, in bytes."""
+"""The largest file that is accepted."""
 
 
 def read_document(path: Path) -> Any:
     """Read a TOML or JSON file.
 
     Raises:
-        FindingsError: It cannot be read, is too large, or is not well formed.
+        FindingsError: The file cannot be read, is too large or is malformed.
     """
     try:
         data = path.read_bytes()
@@ -43,10 +43,10 @@
 
 
 def load_jobs(paths: tuple[Path, ...]) -> tuple[JobSpec, ...]:
-    """Read workload files, each one job or a list under `job`.
+    """Read workload files, each with one job or a list of jobs under `job`.
 
     Raises:
-        FindingsError: With every fault in every file.
+        FindingsError: Lists all faults in all files.
     """
     found = errors.Findings()
     specs: list[JobSpec] = []
@@ -79,9 +79,9 @@
 
 
 def load_configuration(path: Path) -> Configuration:
-    """Read and check a configuration file.
+    """Read and validate a configuration file.
 
     Raises:
-        FindingsError: With every fault found.
+        FindingsError: Lists all faults found.
     """
     return unwrap(parse_configuration(read_document(path), place=str(path)))
--- a/cranberrycleat/http_calls.py
+++ b/cranberrycleat/http_calls.py
@@ -1,8 +1,7 @@
-"""Outgoing HTTP calls between processes: one typed call over httpx.
+"""Typed HTTP calls between processes, over httpx.
 
-A call sends one message and decodes one message. Everything that keeps an
-answer from arriving becomes `PeerUnavailable`; a refusal becomes the
-`ProblemError` that the other side raised.
+A call sends one message and decodes one message. Any failure to get an answer is raised
+as `PeerUnavailable`; an error response as the `ProblemError` that the server raised.
 """
 
 import functools
@@ -17,30 +16,30 @@
 
 T = TypeVar("T")
 KEEPALIVE_EXPIRY_S: Final = 60.0
-"""Idle connections are kept for less time than servers keep them, which is 75 s
-(`serve.KEEP_ALIVE_S`), and for longer than the pause between two syncs."""
+"""Idle connections expire before the servers close them after 75 s
+(`http_server.KEEP_ALIVE_S`), and are kept longer than the pause between two syncs."""
 Params = dict[str, str] | None
 
 
 @functools.cache
 def tls_context() -> ssl.SSLContext:
-    """Return the one TLS context of this process.
+    """Return the shared TLS context of this process.
 
-    Each context holds its own copy of the system's certificates, about half a
-    megabyte; a scheduler has a client for every worker.
+    Each context holds its own copy of the system's certificates, about 0.5 MB, and a
+    scheduler has a client for every worker.
     """
     return httpx.create_ssl_context()
 
 
 @attrs.define(kw_only=True, eq=False)
 class JsonClient:
-    """Sends messages over kept connections, straight on httpx's transport.
+    """Sends messages over persistent connections, directly on httpx's transport.
 
-    What a client adds on top (redirects, cookies, authentication, environment)
-    has no use between the system's processes and would double the cost.
+    The features of an httpx client (redirects, cookies, authentication, environment)
+    are not needed between these processes and would double the cost.
 
     Attributes:
-        timeout_s: How long to wait for an answer, in seconds.
+        timeout_s: Timeout of each phase of a request, in seconds.
     """
 
     timeout_s: float
@@ -61,11 +60,11 @@
     async def send_request(
         self, method: str, url: str, content: bytes | None, params: Params
     ) -> httpx.Response:
-        """Send one request and return its whole answer.
+        """Send one request and return the complete response.
 
         Raises:
-            httpx.HTTPError: No whole answer came.
-            httpx.InvalidURL: The URL is not one.
+            httpx.HTTPError: No complete response arrived.
+            httpx.InvalidURL: The URL is invalid.
         """
         limit = self.timeout_s
         timeouts = {"connect": limit, "read": limit, "write": limit, "pool": limit}
@@ -85,7 +84,7 @@
 
 
 def make_client(*, timeout_s: float, connections: int = 100) -> JsonClient:
-    """Return a client of its own pool of connections."""
+    """Return a client with its own connection pool."""
     limits = httpx.Limits(
         max_connections=connections,
         max_keepalive_connections=connections,
@@ -107,8 +106,8 @@
     """Send one message and return the decoded answer.
 
     Raises:
-        PeerUnavailable: No whole answer came; the other side may have acted.
-        ProblemError: The other side refused.
+        PeerUnavailable: No complete answer arrived; the call may have taken effect.
+        ProblemError: The server returned an error.
     """
     content = None if message is None else codec.encode(message)
     try:
--- a/cranberrycleat/http_client.py
+++ b/cranberrycleat/http_client.py
@@ -1,8 +1,8 @@
-"""The one HTTP client of a process: for the platform, its workers and peers.
+"""HTTP client of the node, for calls to the platform, workers and peers.
 
-aiohttp and not the house's httpx: the maintainers' trial found 0.22 ms of
-processor time a call against 1.8 ms for httpx's bare transport, and an owner
-makes 150 to 250 calls a second on a host of one core.
+It uses aiohttp instead of httpx: a call takes 0.22 ms of processor time, compared with
+1.8 ms on httpx's bare transport, and an owner makes 150 to 250 calls per second on a
+host with one core.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 KEEPALIVE_EXPIRY_S: Final = 50.0
-"""Idle connections are kept, since new ones are priced; below a server's 75 s."""
+"""Idle connections are kept, since new ones are billed; below the servers' 75 s."""
 
 
 class NoAnswer(Exception):
-    """No whole answer came; the other side may have acted, or may yet.
+    """No complete answer arrived; the request may have taken or may yet take effect.
 
     Attributes:
-        sent: False where it is certain that no byte of the request left.
+        sent: False if it is certain that no byte of the request was sent.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
@@ -30,21 +30,21 @@
 
 
 class ConnectionClosed(NoAnswer):
-    """The connection that a request was for is closed; nothing was sent."""
+    """The connection requested for a call is closed; nothing was sent."""
 
 
 class ResponseTooLarge(NoAnswer):
-    """The answer has more bytes than were wanted; it was not read to its end."""
+    """The answer exceeds the size limit and was not read completely."""
 
 
 @attrs.frozen(kw_only=True)
 class HttpReply:
-    """A whole answer.
+    """A complete HTTP response.
 
     Attributes:
         status: The HTTP status.
-        body: All of its bytes.
-        read_s: How long it took from the answer's beginning to its end.
+        body: The complete body.
+        read_s: Time taken to read the body.
     """
 
     status: int
@@ -54,13 +54,13 @@
 
 @attrs.define(kw_only=True)
 class _BodyReader:
-    """How far the reading of one answer has come.
+    """Progress of reading one response body.
 
     Attributes:
-        parts: The bytes that came.
-        got: How many these are.
-        expected: How many the answer has, where it says so.
-        most: How many are wanted at most; None: any number.
+        parts: The parts received.
+        received_bytes: Their total size.
+        expected: The body's size according to its header, if given.
+        limit_bytes: The maximum size; None for no limit.
     """
 
     parts: list[bytes] = attrs.field(factory=list)
@@ -69,12 +69,12 @@
     limit_bytes: int | None = None
 
     def add_part(self, part: bytes) -> None:
-        """Take in what came."""
+        """Append a part."""
         self.parts.append(part)
         self.received_bytes += len(part)
 
     def is_too_large(self) -> bool:
-        """Tell whether more bytes come than are wanted."""
+        """Return whether the body is known to exceed the limit."""
         return (
             self.limit_bytes is not None
             and max(self.received_bytes, self.expected or 0) > self.limit_bytes
@@ -85,16 +85,16 @@
 
 
 class _NotConnected(aiohttp.ClientConnectionError):
-    """A request that may not open a connection found none open."""
+    """A request that must not open a connection found none open."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class HttpClient:
-    """Sends requests over kept connections.
+    """Sends requests over persistent connections.
 
     Attributes:
-        most_connections: How many may be open at a time; 0: any number.
-        opened: How many were opened so far.
+        max_connections: Maximum number of open connections; 0 for no limit.
+        connections_opened: Number of connections opened so far.
     """
 
     max_connections: int = 0
@@ -114,30 +114,31 @@
         max_bytes: int | None = None,
         required_connection: int | None = None,
     ) -> HttpReply:
-        """Send one request and return its whole answer.
+        """Send one request and return the complete response.
 
         Args:
             method: The HTTP method.
-            url: Where to.
-            body: What to send.
-            headers: Headers beside the usual ones.
-            params: The query.
-            timeout_s: How long the whole answer may take, or only its beginning
-                where `stall_s` is given.
-            stall_s: An answer that has begun is read for as long as bytes come;
-                this is how long none may. For answers that can be large: a time
-                limit on the whole would cut off, again and again, what the link
-                cannot carry within it.
-            most_bytes: A longer answer is not wanted, and left unread as soon as
-                that is known.
-            over: Send it only if this number of connections was opened so far and
-                none has to be opened. With one connection at a time it reaches the
-                process that answered on that one, or none.
+            url: The URL.
+            body: The request body.
+            headers: Additional headers.
+            params: The query parameters.
+            timeout_s: Timeout for the complete response, or for its headers only if
+                `stall_s` is given.
+            stall_s: Maximum time without new bytes while the body is read, which is
+                otherwise unlimited. For responses that can be large: with a total
+                timeout, a response that the link cannot carry in time would be
+                aborted and restarted again and again.
+            max_bytes: Maximum size of the response body; reading stops as soon as
+                the body is known to be larger.
+            required_connection: Send the request only if `connections_opened` has
+                this value and no new connection is needed. With one connection at a
+                time it reaches either the process that answered on that connection
+                or none.
 
         Raises:
-            ConnectionGone: Another connection would have been needed.
-            TooLong: The answer has more bytes than were wanted.
-            NoAnswer: No whole answer came within the time.
+            ConnectionClosed: A new connection would have been needed.
+            ResponseTooLarge: The response exceeds `max_bytes`.
+            NoAnswer: No complete response arrived in time.
         """
         if (
             required_connection is not None
@@ -160,8 +161,8 @@
                     trace_request_ctx=required_connection,
                 ) as res:
                     if stall_s is not None:
-                        # No limit on the whole, however long: begun anew, the
-                        # same answer would take the same link as long again.
+                        # No total timeout, however long the body takes: after a
+                        # restart the link would need the same time again.
                         limit.reschedule(None)
                     return await _read(res, reading, stall_s)
         except _NotConnected as exc:
@@ -187,7 +188,7 @@
         return self._session
 
     def _connection_trace(self) -> aiohttp.TraceConfig:
-        """Return a trace that counts connections, and refuses those not allowed."""
+        """Return a trace that counts new connections and rejects forbidden ones."""
 
         async def on_connection_create(
             _: object, ctx: SimpleNamespace, __: object
@@ -209,7 +210,7 @@
 async def _read(
     res: aiohttp.ClientResponse, reading: _BodyReader, stall_s: float | None
 ) -> HttpReply:
-    """Read an answer that has begun."""
+    """Read the body of a response."""
     began = _now()
     reading.expected = res.content_length
     while not reading.is_too_large() and (
@@ -225,12 +226,13 @@
 
 
 async def _next_part(content: aiohttp.StreamReader, stall_s: float | None) -> bytes:
-    """Return the next bytes of an answer; none at its end."""
+    """Return the next bytes of a body, or no bytes at its end."""
     try:
         async with asyncio.timeout(stall_s):
             return await content.readany()
     except TimeoutError:
-        # A process that was paused finds the time over and the bytes there.
+        # After a pause of the process the timeout has expired although the bytes
+        # have arrived.
         part = content.read_nowait()
         if not part:
             raise
--- a/cranberrycleat/http_server.py
+++ b/cranberrycleat/http_server.py
@@ -1,6 +1,6 @@
-"""Runs an ASGI app on uvicorn until it is told to stop.
+"""Runs an ASGI app on uvicorn in the current event loop.
 
-A server that stops lets requests in flight finish first.
+A stopping server finishes requests in flight first.
 """
 
 import asyncio
@@ -18,12 +18,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class HttpServer:
-    """One listening HTTP server in the running event loop.
+    """An HTTP server in the running event loop.
 
     Attributes:
         app: The ASGI app.
         host: The address to listen on.
-        port: The port, 0 for any free one; set once it listens.
+        port: The port, or 0 for any free one; set to the actual port after the start.
     """
 
     app: Any
@@ -33,10 +33,10 @@
     _task: "asyncio.Task[None] | None" = None
 
     async def start(self) -> None:
-        """Begin to listen.
+        """Start listening.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: Cannot listen on the address.
         """
         cfg = uvicorn.Config(
             self.app,
@@ -63,17 +63,17 @@
 
     @property
     def url(self) -> str:
-        """The base URL it answers at."""
+        """The server's base URL."""
         return f"http://{self.host}:{self.port}"
 
     async def stop(self) -> None:
-        """Stop listening and let requests in flight finish."""
+        """Stop listening and finish requests in flight."""
         if self._server is not None and self._task is not None:
             self._server.should_exit = True
             await asyncio.wait([self._task], timeout=SHUTDOWN_TIMEOUT_S + 1)
 
     async def kill(self) -> None:
-        """Stop at once, breaking off requests in flight."""
+        """Stop immediately, aborting requests in flight."""
         if self._server is not None and self._task is not None:
             self._server.should_exit = True
             self._server.force_exit = True
@@ -83,14 +83,14 @@
 
 
 class _EmbeddedServer(uvicorn.Server):
-    """A server that leaves signals to the process and never exits it."""
+    """A uvicorn server that does not handle signals and never exits the process."""
 
     def capture_signals(self) -> Any:
-        """Capture nothing; `lifecycle` handles signals."""
+        """Leave signal handlers unchanged; `lifecycle` handles signals."""
         return contextlib.nullcontext()
 
     async def serve(self, sockets: Any = None) -> None:
-        """Serve, and turn uvicorn's exit on a bad address into an end."""
+        """Serve; return where uvicorn would exit the process because of its address."""
         try:
             await super().serve(sockets)
         except SystemExit:
--- a/cranberrycleat/keys.py
+++ b/cranberrycleat/keys.py
@@ -1,7 +1,7 @@
-"""The keys of the table's rows that schedulers share.
+"""Keys of the table rows that schedulers share.
 
-Everything of one shard stands below one prefix, so that a new owner reads it in
-one scan; changes that wait for the owner stand below another.
+All rows of a shard have one prefix, so that a new owner can read them in one scan.
+Changes that wait for the owner have another prefix.
 """
 
 from typing import Final
@@ -16,7 +16,7 @@
 
 
 def job_key(data_centre: str, job: str) -> str:
-    """Return the key of the row of a job's part in a shard."""
+    """Return the key of the row for a job's part in a shard."""
     return f"{SHARD}/{data_centre}/job/{job}"
 
 
--- a/cranberrycleat/lifecycle.py
+++ b/cranberrycleat/lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of a process: start, run until told to stop, drain, stop.
+"""Process lifecycle: start, run until a stop is requested, drain, stop.
 
-Every daemon is a `Part`; `run` drives one until SIGTERM or SIGINT. The first
-signal drains: not ready, wait out the balancer, finish what is in flight, hand
-over, exit. `Background` keeps the tasks of a part and reports one that fails.
+Every process implements `Daemon`; `run` runs it until SIGTERM or SIGINT. The first
+signal starts draining: become unready, wait for the load balancer, finish requests in
+flight, hand over, exit. `BackgroundTasks` holds a daemon's tasks and logs failures.
 """
 
 import asyncio
@@ -18,43 +18,43 @@
 
 LOG: Final[logging.Logger] = part_logger("process")
 RESTART_DELAY_S: Final = 0.5
-"""The pause before a task that failed begins again."""
+"""Delay before a failed task is restarted."""
 GC_THRESHOLD: Final = 20_000
-"""Allocations between collections; each looks through what a shard holds."""
+"""Allocations between collections, since each one scans all objects of a shard."""
 
 
 class Daemon(Protocol):
-    """What a process consists of."""
+    """Interface of a long-running process."""
 
     async def start(self) -> None:
-        """Begin to serve; raises OSError where the address is taken."""
+        """Start serving; raises OSError if the address is in use."""
 
     async def drain(self) -> None:
-        """Take no new work, finish what is in flight, hand over."""
+        """Accept no new work, finish work in flight, hand over."""
 
     async def stop(self) -> None:
-        """End every task and close every connection."""
+        """Cancel all tasks and close all connections."""
 
     @property
     def url(self) -> str:
-        """The base URL it answers at."""
+        """The daemon's base URL."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class BackgroundTasks:
-    """The background tasks of one part."""
+    """The background tasks of one component."""
 
     tasks: set["asyncio.Task[None]"] = attrs.field(factory=set)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
-        """Run a coroutine until it ends or `cancel` is called."""
+        """Run a coroutine as a task until it ends or `cancel` is called."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
 
     def keep(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run work until `cancel`; where it fails, log that and begin it again."""
+        """Run work until `cancel` is called; after a failure log it and restart."""
         self.spawn(self._run_with_restart(work))
 
     async def _run_with_restart(
@@ -65,16 +65,16 @@
                 await work()
                 return
             except Exception:
-                LOG.exception("A task failed and begins again.")
+                LOG.exception("Background task failed; restarting it.")
             await asyncio.sleep(RESTART_DELAY_S)
 
     def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            LOG.error("A task failed.", exc_info=task.exception())
+            LOG.error("Background task failed.", exc_info=task.exception())
 
     async def cancel(self) -> None:
-        """End every task and wait until they have ended."""
+        """Cancel all tasks and wait for them to end."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
@@ -83,36 +83,36 @@
 
 @runtime_checkable
 class Reloadable(Protocol):
-    """A part whose settings may change while it runs."""
+    """A daemon whose settings can be reloaded while it runs."""
 
     def reload_settings(self) -> None:
-        """Take in settings that may have changed."""
+        """Reload the settings."""
 
 
 def _reload_settings(daemon: Daemon) -> None:
-    """Answer SIGHUP."""
+    """Handle SIGHUP."""
     if isinstance(daemon, Reloadable):
         daemon.reload_settings()
         return
-    LOG.info("Told to read settings again; flags and environment stay.")
+    LOG.info("Ignoring SIGHUP: flags and environment cannot be reloaded.")
 
 
 async def run(daemon: Daemon, *, announce: str) -> None:
-    """Run a part until the process is told to stop.
+    """Run a daemon until a signal requests a stop.
 
     Args:
-        part: What to run.
-        announce: The part's name; printed with its URL once it listens, so
-            that whoever started the process learns its port.
+        daemon: The daemon.
+        announce: The daemon's name, printed with its URL once it listens, so that
+            the parent process learns the port.
     """
-    # What start-up made stays for good: the collector need not look at it.
+    # Objects created at start-up live forever, so the collector can skip them.
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    # Without a handler the signal would end the process.
+    # Without a handler SIGHUP would terminate the process.
     loop.add_signal_handler(signal.SIGHUP, _reload_settings, daemon)
     await daemon.start()
     print(f"{announce} listening on {daemon.url}", flush=True)
@@ -121,5 +121,5 @@
     await daemon.drain()
     await daemon.stop()
     LOG.info("Stopped.")
-    # Lines gather for a moment before they are written; the last ones can't.
+    # Log lines are buffered; write the last ones before the process exits.
     flush()
--- a/cranberrycleat/options.py
+++ b/cranberrycleat/options.py
@@ -1,4 +1,4 @@
-"""The options of each program: one typed object each (see `settings`)."""
+"""The command-line options of each program, as typed classes (see `settings`)."""
 
 from typing import Final
 
@@ -18,13 +18,14 @@
 )
 
 MIN_OWNER_LEASES_PER_WORKER_LEASE: Final = 2.0
-"""A task must outlive its owner: a candidate waits for one ownership lease,
-looks every fifth of one, and then has to reach the worker."""
+"""Minimum ratio of the worker lease to the ownership lease. A task must outlive its
+owner: a candidate waits for one ownership lease, polls every fifth of one, and then has
+to reach the worker."""
 
 
 @attrs.frozen(kw_only=True)
 class CommonOptions:
-    """What every daemon has."""
+    """Options common to all daemons."""
 
     name: str = setting(Name(), "This process's name, unique among its kind.")
     data_centre: str = setting(Name(), "The data centre this process stands in.")
@@ -62,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class SchedulerOptions(CommonOptions):
-    """The scheduler's options."""
+    """Options of the scheduler."""
 
     lease_s: float = setting(
         Number(low=0.2, high=600), "Length of the ownership lease.", default=5.0
@@ -112,7 +113,7 @@
     )
 
     def check(self) -> tuple[errors.Finding, ...]:
-        """Return faults of settings that are right alone but not together."""
+        """Return faults in combinations of individually valid settings."""
         minimum = MIN_OWNER_LEASES_PER_WORKER_LEASE * self.lease_s
         if self.worker_lease_s >= minimum:
             return ()
@@ -127,7 +128,7 @@
 
 @attrs.frozen(kw_only=True)
 class GatewayOptions(CommonOptions):
-    """The gateway's options."""
+    """Options of the gateway."""
 
     max_waiting: int = setting(
         Integer(low=0, high=100000), "Requests that may wait for a slot.", default=256
@@ -145,7 +146,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformOptions:
-    """The platform stand-in's options."""
+    """Options of the platform stand-in."""
 
     listen: str = setting(Listen(), "The IP to listen on.", default="127.0.0.1")
     port: int = setting(
@@ -166,7 +167,7 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerOptions:
-    """The worker stand-in's options."""
+    """Options of the worker stand-in."""
 
     name: str = setting(Name(), "The worker's name.")
     data_centre: str = setting(Name(), "The data centre it stands in.")
@@ -186,7 +187,9 @@
         Integer(low=0, high=64), "Accelerators it has.", default=0
     )
     slots: int = setting(
-        Integer(low=0, high=4096), "Requests its services answer at once.", default=8
+        Integer(low=0, high=4096),
+        "Requests that its services handle concurrently.",
+        default=8,
     )
     labels: str = setting(Text(), "Labels, as key=value,key=value.", default="")
     log_level: str = setting(
@@ -201,7 +204,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeOptions:
-    """The node's options; addresses and bounds come from the platform's file."""
+    """Options of the node; its addresses and bounds come from the platform's file."""
 
     log_level: str = setting(
         Choice(choices=("debug", "info", "warning", "error")),
--- a/cranberrycleat/peers.py
+++ b/cranberrycleat/peers.py
@@ -1,10 +1,9 @@
-"""Peers: one task for each, exchanging small digests.
+"""Gossip between processes: one task per peer, exchanging small digests.
 
-A process asks each peer in turn for what it lacks: a newer configuration, newer
-endpoint sets, signs of leaving endpoints. Each exchange is one request with the
-asker's digest and one answer with the peer's, so a peer that cannot be reached
-costs nothing but a refused connection. Nothing agreed rests on digests: they
-only carry versions that the table has given out.
+A process asks each peer for what it lacks: a newer configuration, newer endpoint sets,
+reports of leaving endpoints. Each exchange is one request with the sender's digest and
+one reply with the peer's, so an unreachable peer costs only a refused connection. No
+agreement relies on digests: they only carry versions assigned by the table.
 """
 
 import asyncio
@@ -21,27 +20,27 @@
 
 LOG: Final[logging.Logger] = part_logger("peers")
 PEER_TIMEOUT_INTERVALS: Final = 5
-"""Digest intervals without an answer before a peer counts as gone."""
+"""Digest intervals without an answer after which a peer is considered gone."""
 
 
 class Gossip(Protocol):
-    """What a process offers to its peers."""
+    """Interface of a process that takes part in gossip."""
 
     def digest(self) -> Digest:
-        """Return what this process tells its peers now."""
+        """Return this process's current digest."""
 
     def apply_reply(self, reply: DigestReply) -> None:
-        """Take in what a peer answered."""
+        """Apply a peer's reply."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Peer:
-    """One peer as this process knows it.
+    """This process's information about one peer.
 
     Attributes:
-        url: Its base URL.
-        last: Its last digest, or None.
-        heard_at: When that came, on this process's clock.
+        url: The peer's base URL.
+        last: The peer's last digest, or None.
+        last_heard_at: When it was received, on this process's clock.
     """
 
     url: str
@@ -51,7 +50,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Peers:
-    """Every peer of one process."""
+    """All peers of one process."""
 
     urls: tuple[str, ...]
     gossip: Gossip
@@ -60,7 +59,7 @@
     known: dict[str, Peer] = attrs.field(factory=dict)
 
     async def gossip_with(self, url: str) -> None:
-        """Exchange digests with one peer for ever."""
+        """Exchange digests with one peer forever."""
         peer = self.known.setdefault(url, Peer(url=url))
         async with make_client(timeout_s=max(1.0, self.digest_s)) as client:
             while True:
@@ -76,17 +75,17 @@
                     peer.last_heard_at = self.clock.now()
                     self.gossip.apply_reply(reply)
                 except (errors.PeerUnavailable, errors.ProblemError) as exc:
-                    LOG.debug("peer %s gave no answer: %s", url, exc)
+                    LOG.debug("No answer from peer %s: %s", url, exc)
                 await asyncio.sleep(self.digest_s)
 
     def record_digest(self, sender_digest: Digest) -> None:
-        """Note a peer that asked, whether or not its address is known here."""
+        """Record the digest of a requesting peer, even if its address is unknown."""
         peer = self.known.setdefault(sender_digest.sender, Peer(url=""))
         peer.last = sender_digest
         peer.last_heard_at = self.clock.now()
 
     def live(self, role: str) -> tuple[Digest, ...]:
-        """Return the last digests of peers of a role that were heard lately."""
+        """Return the last digests of all live peers with a role."""
         bound = self.clock.now() - PEER_TIMEOUT_INTERVALS * self.digest_s
         return tuple(
             peer.last
--- a/cranberrycleat/plugins.py
+++ b/cranberrycleat/plugins.py
@@ -1,7 +1,7 @@
-"""Imports the modules whose plug-ins ship with the package.
+"""Registers the built-in plug-ins by importing their modules.
 
-Importing this module is what registers them. Another package's plug-ins
-register in the same way, by being imported before a daemon starts.
+Plug-ins of other packages are registered in the same way, by being imported before a
+daemon starts.
 """
 
 from cranberrycleat import (  # noqa: F401
--- a/cranberrycleat/serve.py
+++ b/cranberrycleat/serve.py
@@ -1,7 +1,7 @@
-"""The HTTP edge of the daemons with many routes: litestar.
+"""HTTP application set-up with litestar, for daemons with many routes.
 
-`make_app` turns problems into RFC 9457 documents and bounds bodies; it is
-served by `http_server`.
+`make_app` builds an app that returns errors as RFC 9457 problem documents and limits
+the size of request bodies; `http_server` serves it.
 """
 
 import math
@@ -32,7 +32,7 @@
 
 
 def problem_of(exc: errors.ProblemError) -> Problem:
-    """Return the document for a refusal."""
+    """Return the problem document for an error."""
     return Problem(
         type=f"urn:cranberrycleat:{exc.code}",
         title=exc.code,
@@ -44,12 +44,12 @@
 
 
 def retry_after(seconds: float | None) -> int | None:
-    """Return a `Retry-After` value: whole seconds, rounded up, at least one."""
+    """Return a `Retry-After` value: seconds rounded up to an integer, at least 1."""
     return None if seconds is None else max(1, math.ceil(seconds))
 
 
 def problem_response(exc: errors.ProblemError) -> Response[bytes]:
-    """Return the HTTP response for a refusal."""
+    """Return the HTTP response for an error."""
     headers = {}
     if exc.retry_after_s is not None:
         headers["Retry-After"] = str(retry_after(exc.retry_after_s))
@@ -88,7 +88,7 @@
 
 
 def state_handlers(metrics: Metrics, dump: Callable[[], object]) -> list[Any]:
-    """Return the handlers that show any process's metrics and state."""
+    """Return the handlers for a process's metrics and diagnostic state."""
 
     @get("/v1/metrics")
     async def show_metrics() -> Response[bytes]:
@@ -102,7 +102,7 @@
 
 
 def make_app(handlers: Sequence[Any]) -> litestar.Litestar:
-    """Build an app with the project's own error handling and no logging set-up."""
+    """Build an app with this project's error handling and no logging configuration."""
     return litestar.Litestar(
         route_handlers=list(handlers),
         logging_config=None,
--- a/cranberrycleat/settings.py
+++ b/cranberrycleat/settings.py
@@ -1,8 +1,8 @@
-"""Settings: one typed object a daemon, filled once from flags and environment.
+"""Typed settings for each daemon, read once from flags and environment variables.
 
-A setting is declared once, as an attrs field with its rule; the command line,
-the environment variable, the help text and the check all come from there. The
-check reports every fault at once, with the flag or variable it stands in.
+A setting is declared once, as an attrs field with a rule. The command-line flag, the
+environment variable, the help text and the validation are derived from it. Validation
+reports all faults at once, each with its flag or variable.
 """
 
 import os
@@ -27,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class Integer:
-    """A whole number within bounds."""
+    """An integer within bounds."""
 
     low: int
     high: int
@@ -43,24 +43,24 @@
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """One of a few words."""
+    """One of a fixed set of words."""
 
     choices: tuple[str, ...]
 
 
 @attrs.frozen(kw_only=True)
 class Url:
-    """An HTTP base URL by IP number and port."""
+    """An HTTP base URL with an IP address and a port."""
 
 
 @attrs.frozen(kw_only=True)
 class Urls:
-    """Base URLs joined by commas; may be empty."""
+    """A comma-separated list of base URLs; may be empty."""
 
 
 @attrs.frozen(kw_only=True)
 class Listen:
-    """An IP number to listen on."""
+    """An IP address to listen on."""
 
 
 @attrs.frozen(kw_only=True)
@@ -81,15 +81,15 @@
     """Declare a setting.
 
     Args:
-        rule: What values it may have.
+        rule: The rule for its values.
         text: One sentence for `--help`.
-        default: Its default; without one it is required.
+        default: The default value; without one the setting is required.
     """
     return attrs.field(default=default, metadata={_RULE: rule, _HELP: text})
 
 
 def allowed(rule: Rule) -> str:
-    """Say what values a rule allows, for people."""
+    """Return a human-readable description of the values a rule allows."""
     match rule:
         case Name():
             return NAME_RULE
@@ -110,10 +110,10 @@
 
 
 def convert(rule: Rule, text: str) -> Any:
-    """Turn a setting's text into its value.
+    """Convert a setting's text to its value.
 
     Raises:
-        ValueError: The rule does not allow it.
+        ValueError: The text is malformed or the rule does not allow the value.
     """
     match rule:
         case Name():
@@ -145,7 +145,7 @@
 
 
 def flag(field: "attrs.Attribute[Any]") -> str:
-    """Return a setting's flag."""
+    """Return a setting's command-line flag."""
     return "--" + field.name.replace("_", "-")
 
 
@@ -161,7 +161,7 @@
 
 
 def help_of(field: "attrs.Attribute[Any]") -> str:
-    """Return a setting's help text with its values, default and variable."""
+    """Return a setting's help text with allowed values, default and variable."""
     text = f"{field.metadata[_HELP]} [{allowed(rule_of(field))}]"
     if field.default is attrs.NOTHING:
         text += " [required]"
@@ -171,7 +171,7 @@
 
 
 def default_text(field: "attrs.Attribute[Any]") -> str:
-    """Return a setting's default as one would write it."""
+    """Return a setting's default as it would be written on the command line."""
     if isinstance(field.default, tuple):
         return ",".join(field.default) or "none"
     return str(field.default)
@@ -182,15 +182,15 @@
     given: Mapping[str, str | None],
     environ: Mapping[str, str] = os.environ,
 ) -> Options:
-    """Build the options object from flags and environment.
+    """Build an options object from flags and environment variables.
 
     Args:
         cls: The attrs class whose fields are settings.
-        given: Flag values by field name; None where a flag was not given.
-        environ: The environment; a flag goes before a variable.
+        given: Flag values by field name; None for flags not given.
+        environ: The environment; flags take precedence over it.
 
     Raises:
-        FindingsError: With every fault found.
+        FindingsError: Lists all faults found.
     """
     found = errors.Findings()
     values: dict[str, Any] = {}
--- a/cranberrycleat/start.py
+++ b/cranberrycleat/start.py
@@ -1,4 +1,4 @@
-"""Where a process begins: what has to happen before anything is imported."""
+"""Process entry point, with the steps that must precede all other imports."""
 
 import gc
 import sys
@@ -7,9 +7,9 @@
 
 
 def main() -> None:
-    """Open a node's door, then load and run the command line."""
-    # Imports allocate and free nothing: collections would only look at them
-    # (a tenth of their time). `lifecycle.run` sets the collector for good.
+    """Open a node's listening socket, then load and run the command line."""
+    # Imports allocate without freeing, so garbage collections are useless during
+    # them and take a tenth of their time. `lifecycle.run` configures the collector.
     gc.disable()
     if sys.argv[1:2] == ["node"]:
         _listen_early()
--- a/cranberrycleat/table.py
+++ b/cranberrycleat/table.py
@@ -1,9 +1,9 @@
-"""The platform's transactional table, as the project sees it.
+"""Interface to the platform's transactional table.
 
-`Table` is the one narrow interface to it; `table_http` is the adapter that the
-daemons use and `standins.table` the in-memory stand-in. Every row has a version
-that changes with each write to it; a transaction is a set of conditions on
-versions and a set of writes, and takes effect whole or not at all.
+`Table` is the only interface to it; `table_http` is the adapter used by the daemons and
+`standins.table` an in-memory implementation. Every row has a version that changes with
+each write. A transaction is a set of version checks and a set of writes, and is applied
+atomically.
 """
 
 from typing import Final, Protocol
@@ -11,7 +11,7 @@
 import attrs
 
 ABSENT: Final = 0
-"""The version to check for where a row must not exist."""
+"""Version used in checks that a row does not exist."""
 
 
 @attrs.frozen(kw_only=True)
@@ -19,8 +19,8 @@
     """One row of the table.
 
     Attributes:
-        key: The row's key, parts separated by slashes.
-        version: Grows with each write to the row; never `ABSENT`.
+        key: The row's key, with parts separated by slashes.
+        version: Increases with each write to the row; never `ABSENT`.
         value: JSON text.
     """
 
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Check:
-    """A condition: the row has this version (`ABSENT`: does not exist)."""
+    """A condition that a row has this version (`ABSENT`: does not exist)."""
 
     key: str
     version: int
@@ -47,14 +47,14 @@
 
 @attrs.frozen(kw_only=True)
 class Transaction:
-    """Conditions and writes that take effect together or not at all."""
+    """Conditions and writes that are applied atomically."""
 
     checks: tuple[Check, ...] = ()
     puts: tuple[Put, ...] = ()
     deletes: tuple[str, ...] = ()
 
     def size(self) -> int:
-        """Return about how many bytes it writes: those of its values."""
+        """Return the approximate number of bytes written: the total size of values."""
         return sum(len(put.value) for put in self.puts)
 
 
@@ -64,8 +64,8 @@
 
     Attributes:
         committed: Whether the writes took effect.
-        version: The version that every written row now has, if committed.
-        conflicts: The keys whose condition did not hold, if not.
+        version: If committed, the new version of every written row.
+        conflicts: If not committed, the keys whose condition did not hold.
     """
 
     committed: bool
@@ -74,10 +74,10 @@
 
 
 class Table(Protocol):
-    """The operations the project needs of the platform's table."""
+    """The required operations of the platform's table."""
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Return the rows that exist among the keys, from one point in time.
+        """Return the existing rows among the keys, from one consistent snapshot.
 
         Raises:
             TableUnavailable: The table gave no answer.
@@ -94,6 +94,6 @@
         """Apply a transaction if all its conditions hold.
 
         Raises:
-            TableUnavailable: No answer; the writes may have taken effect, or
-                may yet do so.
+            TableUnavailable: No answer; the writes may have been applied, or may
+                still be applied.
         """
--- a/cranberrycleat/table_http.py
+++ b/cranberrycleat/table_http.py
@@ -1,7 +1,7 @@
-"""The adapter from `Table` to the platform's HTTP interface.
+"""Adapter from `Table` to the platform's HTTP interface.
 
-To meet another platform, write a module like this one and register it; nothing
-else knows how the platform speaks.
+To support another platform, write a module like this one and register it; no other
+module depends on the platform's protocol.
 """
 
 from typing import Final, Protocol, TypeVar
@@ -22,7 +22,7 @@
     """The table and the list of hosts."""
 
     async def hosts(self) -> HostList:
-        """Return the platform's list of hosts, which lags.
+        """Return the platform's list of hosts, which may be out of date.
 
         Raises:
             TableUnavailable: The platform gave no answer.
@@ -35,13 +35,13 @@
 @register(PluginKind.TABLE, DEFAULT)
 @attrs.define(kw_only=True, eq=False)
 class HttpPlatform:
-    """The platform over HTTP with JSON.
+    """Client for the platform's HTTP interface with JSON messages.
 
     Attributes:
         url: The platform's base URL.
-        timeout_s: How long to wait for an answer, in seconds.
-        reads: Calls made that read, for the control-cost bench.
-        writes: Calls made that write.
+        timeout_s: Timeout of a call, in seconds.
+        reads: Number of read calls made, for the control-cost benchmark.
+        writes: Number of write calls made.
     """
 
     url: str
@@ -51,7 +51,7 @@
     _client: JsonClient | None = None
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Return the rows that exist among the keys."""
+        """Return the existing rows among the keys."""
         self.reads += 1
         request = ReadRequest(keys=keys)
         return (await self._call("POST", "/v1/read", Rows, message=request)).rows
--- a/cranberrycleat/watcher.py
+++ b/cranberrycleat/watcher.py
@@ -1,10 +1,10 @@
-"""The versioned configuration, as each process holds it.
+"""Each process's copy of the versioned configuration.
 
-Invariant: `current` never goes back to a lower version, whichever source speaks
-(the table or a peer). A change is accepted only when the table has it; it names
-the version it was made from, and the loser of a race learns which version won.
+Invariant: `current` never goes back to a lower version, whether the source is the table
+or a peer. A change is accepted only once the table has it. It names the version it was
+made from, and the loser of a race is told which version won.
 
-The part is importable on its own; it needs a `Table`.
+This module can be used as a library; it only needs a `Table`.
 """
 
 import secrets
@@ -22,11 +22,11 @@
 
 @attrs.define(kw_only=True)
 class ConfigWatcher:
-    """Holds the highest version seen.
+    """Holds the highest configuration version seen.
 
     Attributes:
-        table: Where the configuration is kept.
-        current: The version held, or None if none was ever seen.
+        table: The table that stores the configuration.
+        current: The version held, or None before the first.
     """
 
     table: Table
@@ -34,14 +34,14 @@
 
     @property
     def version(self) -> int:
-        """The version held; 0 if none was ever seen."""
+        """The number of the version held; 0 before the first."""
         return 0 if self.current is None else self.current.version
 
     def offer(self, document: ConfigDocument | None) -> bool:
-        """Take in a version from any source.
+        """Apply a version from any source.
 
         Returns:
-            Whether it is newer than what was held.
+            Whether it is newer than the version held before.
         """
         if document is None or document.version <= self.version:
             return False
@@ -49,28 +49,28 @@
         return True
 
     async def poll(self) -> bool:
-        """Read the table's version once; return whether it is newer.
+        """Read the table's version once and apply it; return whether it is newer.
 
         Raises:
-            TableUnavailable: The table gave no answer; what is held stays.
+            TableUnavailable: The table gave no answer; the held version is kept.
         """
         _, document = await self._read()
         return self.offer(document)
 
     async def propose(self, *, text: str, made_from: int) -> ConfigDocument:
-        """Make a new version, if nobody else did since.
+        """Create a new version, unless another one was created since `made_from`.
 
         Args:
-            text: The whole document, already checked.
-            made_from: The version that the change was made from.
+            text: The whole document, already validated.
+            made_from: The version that the change is based on.
 
         Returns:
-            The accepted version, which the table has.
+            The accepted version, as stored in the table.
 
         Raises:
-            ProblemError: Another change won (409), or no answer came and it is
-                unknown whether this one was accepted (504).
-            TableUnavailable: Nothing was sent.
+            ProblemError: Another change won (409), or no answer arrived and it is
+                unknown whether this change was accepted (504).
+            TableUnavailable: The table could not be read; nothing was written.
         """
         row, head = await self._read()
         theirs = 0 if head is None else head.version
@@ -103,7 +103,7 @@
         )
 
     async def _resolve_conflict(self, ours: ConfigDocument) -> ConfigDocument:
-        """After a conflict: the row tells whether an earlier copy took effect."""
+        """Check after a conflict whether an earlier copy of the write took effect."""
         _, head = await self._read()
         self.offer(head)
         if head is not None and head.change == ours.change:
--- a/cranberrycleat/worker_http.py
+++ b/cranberrycleat/worker_http.py
@@ -1,6 +1,6 @@
-"""The adapter from an owner's orders to a worker's HTTP interface.
+"""Adapter from an owner's orders to a worker's HTTP interface.
 
-To meet other workers, write a module like this one and register it.
+To support other workers, write a module like this one and register it.
 """
 
 from typing import Final, Protocol
@@ -15,15 +15,15 @@
 
 
 class WorkerClient(Protocol):
-    """What an owner needs of one worker."""
+    """The interface to one worker as needed by an owner."""
 
     async def sync(self, order: SyncOrder) -> SyncReply:
-        """Give the worker its orders and learn what it runs.
+        """Send the worker its orders and return what it runs.
 
         Raises:
-            PeerUnavailable: No answer; the orders may have taken effect, until
-                their `not_after` has passed on the worker's clock.
-            ProblemError: Refused; nothing of the order took effect.
+            PeerUnavailable: No answer; the orders may take effect until their
+                `not_after` has passed on the worker's clock.
+            ProblemError: Refused; no part of the order took effect.
         """
 
     async def close(self) -> None:
@@ -33,14 +33,14 @@
 @register(PluginKind.WORKER, DEFAULT)
 @attrs.define(kw_only=True, eq=False)
 class HttpWorker:
-    """One worker over HTTP with JSON."""
+    """Client for one worker over HTTP with JSON messages."""
 
     url: str
     timeout_s: float = 2.0
     _client: JsonClient | None = None
 
     async def sync(self, order: SyncOrder) -> SyncReply:
-        """Give the worker its orders and learn what it runs."""
+        """Send the worker its orders and return what it runs."""
         if self._client is None:
             self._client = make_client(timeout_s=self.timeout_s, connections=1)
         url = self.url + "/v1/sync"
--- a/cranberrycleat/workflow/__init__.py
+++ b/cranberrycleat/workflow/__init__.py
@@ -1,6 +1,6 @@
-"""Jobs of several steps: accepted at a door, placed by one owner, kept in a table.
+"""Multi-step jobs: accepted on any host, scheduled by one owner, stored in a table.
 
-`spec` says what a job is, `state` what has become of it, `rows` how that is
-stored. `owner` decides and `links` speaks to workers; `door` answers callers.
-`ports` holds the interfaces that an adapter to a platform implements.
+`spec` defines a job, `state` its progress, and `rows` how both are stored. `owner`
+makes the scheduling decisions, `links` talks to workers, and `job_frontend` serves
+callers. `ports` defines the interfaces that a platform adapter implements.
 """
--- a/cranberrycleat/workflow/adapter.py
+++ b/cranberrycleat/workflow/adapter.py
@@ -1,4 +1,4 @@
-"""What a node needs of a platform: one object that an adapter package builds."""
+"""Interface that a platform adapter package implements for a node."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -16,17 +16,17 @@
 
 
 class Adapter(Protocol):
-    """One platform, as a node sees it."""
+    """A platform as seen by a node."""
 
     @property
     def settings(self) -> NodeSettings:
-        """What this process was told at its start."""
+        """The settings in force, as last read."""
 
     def reload_settings(self) -> tuple[str, ...]:
-        """Read the settings again; return the names of those that changed.
+        """Reload the settings; return the names of those that changed.
 
         Raises:
-            FindingsError: They cannot be read; the last stay in force.
+            FindingsError: They cannot be read; the previous ones stay in force.
         """
 
     @property
@@ -35,27 +35,27 @@
 
     @property
     def workers(self) -> WorkerClient:
-        """Orders to workers."""
+        """Client for orders to workers."""
 
     @property
     def permits(self) -> PermitClient:
-        """The permit service."""
+        """Client for the permit service."""
 
     @property
     def machines(self) -> MachineClient | None:
-        """The platform's interface to machines, where it has one."""
+        """Client for the platform's machine API, or None if it has none."""
 
     def wave_status(self, number: int, state: str) -> Put:
-        """Return the write that tells the operator of a wave's state."""
+        """Return the write that reports a maintenance wave's state to the operator."""
 
     def directory(self) -> WorkerDirectory:
-        """Return a reader of the list of workers."""
+        """Return a new reader of the worker directory."""
 
     def config_follower(self) -> ConfigFollower:
-        """Return a follower of the configuration."""
+        """Return a new follower of the configuration."""
 
     def front(self, job_frontend: JobFrontend, is_ready: Callable[[], bool]) -> Any:
-        """Return the ASGI app that callers reach."""
+        """Return the ASGI app that serves callers."""
 
     def readiness(self, is_ready: Callable[[], bool]) -> Any:
-        """Return the ASGI app that the balancer asks."""
+        """Return the ASGI app for the load balancer's readiness checks."""
--- a/cranberrycleat/workflow/config_watch.py
+++ b/cranberrycleat/workflow/config_watch.py
@@ -1,7 +1,8 @@
-"""Keeps a host's configuration the newest, and knows when it is not.
+"""Keeps a host's configuration up to date and detects when it is late.
 
-The node runs it and asks it whether callers may be answered; the follower (see
-`directory`) reads, and `Contact` is told whether the table answered.
+The node runs the watch and asks it whether callers may be served. The follower
+(see `directory`) reads the configuration; `Reachability` records whether the table
+answered.
 """
 
 import asyncio
@@ -17,12 +18,13 @@
 from cranberrycleat.workflow.reachability import TABLE_FRESH_S, Reachability
 
 LONG_POLL_S: Final = 1.0
-"""How long the table holds a question for a newer configuration open; a
-connection that went silent shows within this and the client's time limit."""
+"""Long-poll time of a request for a newer configuration. A stalled connection is
+detected within this plus the client's timeout."""
 RETRY_INTERVAL_S: Final = 0.2
 LATE_MARGIN_S: Final = 0.5
-"""A newer configuration is heard of with a digest (0.3 s) after its first reader
-took it in (0.2 s for 1 MB on a fast link), and the bound counts from before that."""
+"""Allowance for learning of a newer configuration: its first reader needs 0.2 s for
+1 MB on a fast link, and a heartbeat then reports it within 0.3 s, but the bound
+counts from the configuration's acknowledgement."""
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -30,15 +32,15 @@
     """Follows the configuration.
 
     Attributes:
-        follower: Reads it, and holds the newest.
-        contact: Told whether the table answered.
-        clock: Counts suspended time.
-        bound_s: Within which time of its acknowledgement a configuration is in
-            force everywhere.
-        first: Set once a reading has come to its end.
-        unread: Readings in a row that came to nothing.
-        confirmed_at: As of when the configuration held here was known to be the
-            newest: when the question was sent that brought nothing newer.
+        follower: Reads the configuration and holds the newest.
+        reachability: Records whether the table answered.
+        clock: A monotonic clock that also counts time while suspended.
+        bound_s: Time after its acknowledgement within which a configuration must be
+            active on every host.
+        first_read_done: Set once the first read has completed.
+        failed_reads: Number of consecutive failed reads.
+        confirmed_at: Time as of which this host's configuration is known to be the
+            newest: when the request was sent that returned nothing newer.
     """
 
     follower: ConfigFollower
@@ -50,7 +52,7 @@
     confirmed_at: float = float("-inf")
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the configuration forever."""
         while True:
             started_at = self.clock.now()
             try:
@@ -61,13 +63,14 @@
                 self.reachability.record_table_answer()
             except errors.TableUnavailable as exc:
                 if isinstance(exc, errors.TableRefused):
-                    # This host is not cut off, and others fare no better.
+                    # A refusal shows that this host is not isolated; other hosts
+                    # are refused as well.
                     self.reachability.record_remote_answer()
                 self._log_failed_read(started_at, exc)
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _log_failed_read(self, started_at: float, exc: errors.TableUnavailable) -> None:
-        """Log a reading without result; ever rarer where none has one."""
+        """Log a failed read, with exponentially decreasing frequency."""
         self.failed_reads += 1
         if self.failed_reads & (self.failed_reads - 1):
             return
@@ -81,12 +84,12 @@
         )
 
     def note_version(self, version: int, *, asked_at: float, age_s: float) -> None:
-        """Note the version that another host holds.
+        """Record the version that another host holds.
 
         Args:
-            version: The version; 0: none.
+            version: The version; 0 for none.
             asked_at: When that host was asked, on this host's clock.
-            age_s: How long before its answer that was known to be the newest.
+            age_s: How long before its answer the version was known to be the newest.
         """
         self.follower.note_version(version, self.clock.now())
         if version and version == self.follower.version:
@@ -97,20 +100,21 @@
             self.confirmed_at = max(self.confirmed_at, as_of)
 
     def age_s(self) -> float:
-        """Return how long ago the configuration was known to be the newest."""
+        """Return how long ago the configuration was known to be the newest version."""
         return min(NEVER_S, self.clock.now() - self.confirmed_at)
 
     def late_s(self) -> float:
-        """Return for how long a newer version than the one in force is known of."""
+        """Return for how long a version newer than the active one has been known."""
         return self.follower.late_s(self.clock.now())
 
     def is_late(self) -> bool:
-        """Tell whether a newer configuration must be in force by now.
+        """Return whether a newer configuration must be active by now.
 
-        Others have it, and this host hears the table and could not read it in
-        time. What it holds may have queues that are gone and lack new ones, so
-        that every answer by it may be wrong. Without the table it goes on: the
-        owner that serves its callers has the newest.
+        Others have it, and this host reaches the table but could not read it in
+        time. The configuration held here may contain removed queues and lack new
+        ones, so any answer based on it may be wrong. Without access to the table
+        the host keeps serving, since the owner that handles its callers' requests
+        has the newest configuration.
         """
         limit_s = self.bound_s - LATE_MARGIN_S
         return (
--- a/cranberrycleat/workflow/directory.py
+++ b/cranberrycleat/workflow/directory.py
@@ -1,8 +1,8 @@
-"""The list of workers and the configuration, as the platform keeps them.
+"""Followers of the platform's worker list and configuration.
 
-Both are followed by what has changed since a version; where the platform no
-longer has the history, the whole is read again. A row that cannot be read is
-logged with its place and leaves what was known.
+Both read the changes since a known version; if the platform no longer has that
+history, everything is read again. A row that cannot be decoded is logged with
+its location and leaves the previous state in place.
 """
 
 from collections.abc import Callable
@@ -26,22 +26,22 @@
 from cranberrycleat.workflow.upkeep import Wave
 
 MAX_FEED_VERSIONS: Final = 1.5
-"""What changes may take at most, in sizes of the version read last: two versions
-take more. A table hands on each version in full, so that a host which had missed
-some would read what nobody needs, and miss the more the longer its link takes."""
+"""Maximum size of a change feed, in multiples of the configuration version read
+last; two versions exceed it. The table sends each version in full, so a host that
+missed several would read superseded ones, and on a slow link fall further behind."""
 MIN_FEED_LIMIT_BYTES: Final = 65_536
-"""What changes may take whatever was read last: 0.1 s on a link of 5 Mbit/s."""
+"""Feed size allowed regardless of the last version's size; takes 0.1 s at 5 Mbit/s."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class WorkerDirectory:
-    """The workers that the platform lists.
+    """The workers registered with the platform.
 
     Attributes:
         store: The platform's table.
         table: The name of the table of workers.
-        read: Turns a row into an entry.
-        entries: The entries, by identity.
+        read: Decodes a row into an entry.
+        entries: The entries by worker identity.
     """
 
     store: FeedTable
@@ -52,7 +52,7 @@
     _logged_versions: dict[str, int] = attrs.field(factory=dict)
 
     async def read_all(self) -> None:
-        """Read the whole list; raises `errors.TableUnavailable`."""
+        """Read the complete list; raises `errors.TableUnavailable`."""
         found = await self.store.snapshot(table=self.table)
         known = self.entries
         self.entries = {}
@@ -61,7 +61,7 @@
         self._version = found.version
 
     async def refresh(self) -> bool:
-        """Take in what has changed; return whether anything has.
+        """Apply all changes since the last read; return whether there were any.
 
         Raises:
             TableUnavailable: The table gave no answer.
@@ -83,10 +83,10 @@
         return bool(feed.changes)
 
     def _apply_row(self, row: Row, known: dict[str, WorkerEntry]) -> None:
-        """Take in a row; one that cannot be read names no worker to use.
+        """Apply a row; one that cannot be decoded adds no worker.
 
-        A worker that was known keeps its link, so that what runs there goes on
-        and is not doubled, but it draws nothing more.
+        A worker that was known before keeps its link, so that its tasks go on and
+        are not started twice, but it gets no new work.
         """
         try:
             entry = self.read(row)
@@ -99,7 +99,7 @@
         self.entries[entry.worker] = entry
 
     def _log_unreadable_once(self, row: Row, findings: str) -> None:
-        """Log an unreadable row once for each change of it."""
+        """Log an unreadable row once per version."""
         if self._logged_versions.get(row.key) != row.version:
             self._logged_versions[row.key] = row.version
             emit(events.RowUnreadable(findings=findings))
@@ -107,17 +107,17 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ConfigFollower:
-    """Holds the highest version of the configuration that was seen.
+    """Holds the highest configuration version seen.
 
     Attributes:
         store: The platform's table.
-        table: The table of the configuration's row.
+        table: The table that holds the configuration's row.
         key: The row's key.
-        read: Turns the row into the configuration.
-        read_wave: Turns a row into a wave of upkeep, if it is one.
-        current: The configuration in force; None before the first.
-        waves: The waves that the operator asked for, by number.
-        readable: The newest version that was met could be read.
+        read: Decodes the row into a configuration.
+        read_wave: Decodes a row into a maintenance wave, if it is one.
+        current: The active configuration; None before the first.
+        waves: The maintenance waves requested by the operator, by number.
+        readable: Whether the newest version received could be decoded.
     """
 
     store: FeedTable
@@ -133,10 +133,10 @@
     _newer_versions: dict[int, float] = attrs.field(factory=dict)
 
     async def follow(self, wait_s: float) -> bool:
-        """Wait for a change and take it in; return whether one came.
+        """Wait for a change and apply it; return whether there was one.
 
-        What is more than one version is not read change by change: the table
-        gives the newest alone.
+        If more than one version is pending, the changes are not read one by one;
+        a snapshot of the table has only the newest.
 
         Raises:
             TableUnavailable: The table gave no answer.
@@ -161,7 +161,7 @@
         return self._apply_rows(rows, feed)
 
     def _apply_rows(self, rows: tuple[Row, ...], source: Feed | Snapshot) -> bool:
-        """Take in the rows of an answer, of the configuration the newest alone."""
+        """Apply the rows of an answer, but only the newest configuration version."""
         for row in rows:
             if row.key != self.key:
                 self._apply_wave(row)
@@ -193,7 +193,7 @@
         return True
 
     def install(self, config: ClusterConfig) -> bool:
-        """Have a configuration in force unless a newer one is; tell whether it is."""
+        """Activate a configuration unless it is no newer; return whether it was."""
         if self.version >= config.version:
             return False
         self.current = config
@@ -206,16 +206,16 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """The active version; 0 before the first."""
         return 0 if self.current is None else self.current.version
 
     def note_version(self, version: int, now: float) -> None:
-        """Note that another host holds a version; the newest may be unread here."""
+        """Record a version held by another host, which may be newer than this one's."""
         if version > self.version:
             self._newer_versions.setdefault(version, now)
 
     def late_s(self, now: float) -> float:
-        """Return for how long a newer version than the one in force is known of."""
+        """Return for how long a version newer than the active one has been known."""
         return now - min(self._newer_versions.values(), default=now)
 
     def _apply_wave(self, row: Row) -> None:
@@ -228,7 +228,7 @@
             self.waves[wave.number] = wave
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue of the longest prefix that a path begins with."""
+        """Return the queue with the longest matching path prefix."""
         if self.current is None:
             return None
         found = [
--- a/cranberrycleat/workflow/job_frontend.py
+++ b/cranberrycleat/workflow/job_frontend.py
@@ -1,10 +1,11 @@
-"""The door: takes callers' jobs, questions and cancellings on every host.
-
-A job goes to the owner, which stores it together with whatever else it has to
-store. Where no owner answers, the door stores the job in the inbox itself, on
-the condition that neither row of it exists; the owner finds it there. What the
-door refuses was never sent on; where it is unknown whether a job was stored,
-the caller is told so and asks again with the same identity.
+"""Job front end: accepts submissions, queries and cancellations on every host.
+
+A submission is forwarded to the owner, which stores the job in the same
+transaction as its other pending changes. If no owner answers, the front end
+writes the job to the inbox itself, on condition that the inbox has no row for
+its job ID yet; the owner picks it up from there. A refused job was never
+forwarded. If it is unknown whether a job was stored, the caller is told so and
+retries with the same job ID.
 """
 
 import asyncio
@@ -56,24 +57,26 @@
 MAX_STEPS: Final = 64
 MAX_TASKS_PER_STEP: Final = 2000
 MAX_PROGRAM_BYTES: Final = 4000
-"""Bytes; the platform's page on jobs gives this limit."""
+"""Limit given in the platform's documentation of jobs."""
 MAX_QUEUE_LENGTH_AGE_S: Final = 1.6
-"""Queue lengths may be 2 s old."""
+"""Queue lengths shown to callers must be at most 2 s old."""
 OUTAGE_RETRY_AFTER_S: Final = 1.0
-"""When to come back after a refusal for an outage. Callers wait 3 s in all, so
-that two more tries fit; nobody knows how long an outage lasts."""
+"""Retry-After sent when a request is refused because of an outage. Callers wait
+3 s in total, which leaves room for two more attempts; the length of an outage
+cannot be predicted."""
 RETRY_TIME_FRACTION: Final = 0.85
-"""Of the time that a caller waits, the share in which the door goes on trying
-to settle; the rest is for the answer's way."""
+"""Fraction of the caller's timeout during which the front end keeps retrying; the
+remainder is reserved for returning the answer."""
 SUBMIT_RETRY_INTERVAL_S: Final = 0.1
 INBOX_WRITE_TIMEOUT_S: Final = 0.8
-"""How long a caller waits for a write to the inbox; 0.5 s in a slowed table."""
+"""How long a request waits for an inbox write, which takes 0.5 s on a slowed-down
+table."""
 MAX_JOBS_PER_INBOX_WRITE: Final = 40
-"""A transaction holds 100 entries, a job needs two."""
+"""A transaction holds 100 entries and each job needs two."""
 
 
 class RequestStatus(enum.Enum):
-    """How a caller's request came out."""
+    """Status of a caller's request."""
 
     DONE = "done"
     NO_QUEUE = "no-queue"
@@ -86,14 +89,14 @@
 
 @attrs.frozen(kw_only=True)
 class RequestResult:
-    """A caller's answer.
+    """Result of a caller's request.
 
     Attributes:
-        status: How it came out.
-        state: A job's state, where one was asked for.
-        waiting: A queue's length, where one was asked for.
-        reason: Why, for people.
-        retry_after_s: When to come back after a refusal.
+        status: The request's status.
+        state: The job's state, if it was asked for.
+        waiting: The queue's length, if it was asked for.
+        reason: Human-readable reason.
+        retry_after_s: When to retry after a refusal.
     """
 
     status: RequestStatus
@@ -104,7 +107,8 @@
 
 
 NEVER_RUN_STATUSES: Final = frozenset({RequestStatus.REFUSED, RequestStatus.DENIED})
-"""What says that a job never runs; it must not be said of one that may be stored."""
+"""Statuses that promise that the job never runs. They must not be returned for a
+job that may have been stored."""
 JOB_ID_TAKEN: Final = RequestResult(
     status=RequestStatus.MALFORMED, reason="this identity is another job's"
 )
@@ -112,12 +116,12 @@
 
 @attrs.frozen(kw_only=True)
 class _Step:
-    """What one try came to; without an answer the door tries again.
+    """Result of one submit attempt; without an answer the front end retries.
 
     Attributes:
-        answer: The caller's answer, if it is settled.
-        maybe_stored: The job may have been stored, or may yet be.
-        with_owner: An owner that answers has it and is storing it.
+        answer: The answer to the caller, if the outcome is known.
+        possibly_stored: The job may have been stored, or may still be stored.
+        owner_is_storing: A responsive owner has the job and is storing it.
     """
 
     answer: RequestResult | None = None
@@ -126,7 +130,7 @@
 
 
 async def _wait_for_stored(attempts: "set[asyncio.Task[_Step]]") -> _Step:
-    """Return the first try that stored the job; else, that it may be stored."""
+    """Return the first attempt that stored the job, else a "possibly stored" result."""
     pending = attempts
     while pending:
         done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
@@ -141,25 +145,27 @@
 
 @attrs.define(kw_only=True, eq=False)
 class JobFrontend:
-    """Answers callers.
+    """Handles callers' requests.
 
     Attributes:
-        config: The configuration in force.
-        access: Judges callers' keys.
+        config: Follower that holds the active configuration.
+        access: Checks callers' API keys.
         store: The platform's table.
-        inbox: Writes jobs to the inbox, grouped.
-        peers: Calls to other hosts.
-        owner: Tells the owner if it is this process and has taken over.
-        owner_address: Tells where the owner answers; empty if not known.
-        own_address: Where this process answers its peers.
-        in_contact: Tells whether owner or table were heard of lately.
-        config_is_late: Tells whether a newer configuration must be in force by now.
-        refused: Told when nobody listens where the owner should be.
-        left_in_inbox: Told when a job was left in the inbox.
-        answer_timeout: How long the owner's answer is waited for alone.
-        clock: A steady clock.
-        digest: The owner's newest digest.
-        digest_at: When it came.
+        inbox: Writes jobs to the inbox in batches.
+        peers: Client for calls to other hosts.
+        owner: Returns the owner if it is this process and has taken over.
+        owner_address: Returns the owner's address; empty if unknown.
+        own_address: The address at which this process serves its peers.
+        in_contact: Returns whether the owner or the table was reachable
+            recently.
+        config_is_late: Returns whether a newer configuration must be active by now.
+        refused: Called when the connection to the owner's address is refused.
+        left_in_inbox: Called when a job was written to the inbox.
+        answer_timeout: Adaptive limit for waiting on the owner alone, before the
+            inbox or the table is tried as well.
+        clock: A monotonic clock.
+        heartbeat: The owner's latest heartbeat reply.
+        heartbeat_at: When it was received.
     """
 
     config: ConfigFollower
@@ -180,7 +186,7 @@
     heartbeat_at: float = float("-inf")
 
     def queue(self, host: str, path: str) -> Queue | RequestResult:
-        """Return the queue that a path names, or the refusal."""
+        """Return the queue for a path, or the result that rejects the request."""
         if self.config.current is None:
             return RequestResult(
                 status=RequestStatus.REFUSED, reason="no configuration yet"
@@ -194,7 +200,7 @@
     def authorize(
         self, queue: Queue, job_id: str, key_digest: str
     ) -> Granted | RequestResult:
-        """Judge a request by the digest of its key; return the grant or the refusal."""
+        """Check a request's key digest; return the grant or the rejection."""
         decision = self.access.authorize(queue, key_digest)
         match decision:
             case Granted():
@@ -214,7 +220,7 @@
         )
         return answer
 
-    # --- handing in -----------------------------------------------------------
+    # --- submission -----------------------------------------------------------
 
     async def submit(
         self,
@@ -225,14 +231,14 @@
         limit_s: float,
         access: Granted = Granted(),
     ) -> RequestResult:
-        """Take in a job, trying until it is settled or the time is up.
+        """Submit a job, retrying until the outcome is known or the time is up.
 
         Args:
-            queue: The queue it is handed in at.
-            job_id: The caller's identity for it.
+            queue: The queue to submit to.
+            job_id: The job ID chosen by the caller.
             spec: The job.
             limit_s: How long the caller waits for the answer.
-            access: What the caller was granted.
+            access: The access granted to the caller.
         """
         spec_fault = find_spec_fault(spec)
         if spec_fault:
@@ -275,7 +281,7 @@
 
     @staticmethod
     def _log_refusal(req: SubmitRequest, answer: RequestResult) -> RequestResult:
-        """Log a refusal as it leaves; return the answer."""
+        """Log the answer if it is a refusal, and return it."""
         if answer.status is RequestStatus.REFUSED:
             emit(
                 events.JobRefused(
@@ -289,10 +295,10 @@
         return answer
 
     async def _submit_attempt(self, req: SubmitRequest) -> "_Step":
-        """Hand a job to the owner; where it is slow to answer, to the inbox too.
+        """Send a job to the owner and, if that is slow to answer, to the inbox too.
 
-        Both may take it: an identity is one job. So a dead owner costs a
-        caller the time of an answer, not that of a lease.
+        Both may accept it, since a job ID identifies one job. With this hedge a
+        dead owner delays the caller by one answer timeout, not by a lease.
         """
         began = self.clock.now()
         owner = asyncio.create_task(self._submit_to_owner(req))
@@ -346,7 +352,7 @@
         )
 
     async def _send_to_owner(self, req: SubmitRequest) -> SubmitReply | None:
-        """Return the owner's answer; None where no owner is known."""
+        """Return the owner's answer, or None if no owner is known."""
         owner = self.owner()
         if owner is not None:
             return await owner.submit(req)
@@ -371,7 +377,7 @@
             case Committed():
                 stored = True
             case Conflicted():
-                # An earlier try of the caller left the job there, or another workspace.
+                # Written by an earlier attempt of this caller or by another workspace.
                 try:
                     stored = await self._stored_by_workspace(req)
                 except (errors.TableUnavailable, errors.FindingsError) as exc:
@@ -388,37 +394,37 @@
 
     @staticmethod
     def _inbox_outcome_unknown(req: SubmitRequest, reason: str) -> "_Step":
-        LOG.debug("Whether job %s is in the inbox is unknown: %s", req.job_id, reason)
+        LOG.debug("Outcome of inbox write for job %s unknown: %s", req.job_id, reason)
         emit(events.JobInInbox(job=req.job_id, outcome="unknown"))
         return _Step(possibly_stored=True)
 
     async def _stored_by_workspace(self, req: SubmitRequest) -> bool:
-        """Tell whether what the inbox has under an identity is this workspace's.
+        """Return whether the inbox row for a job ID belongs to the caller's workspace.
 
         Raises:
             TableUnavailable: The table gave no answer.
-            FindingsError: The row is of a form that is not known here.
+            FindingsError: The row has an unknown format.
         """
         found = await self.store.read(keys=(rows.inbox_key(req.job_id),))
         caller = req.access.workspace
         return all(may_see(caller=caller, owner=_inbox_workspace(row)) for row in found)
 
     async def _write_with_timeout(self, change: Change) -> WriteResult:
-        """Write to the inbox; what takes longer goes on without its caller.
+        """Write to the inbox; after the timeout the write continues in the background.
 
-        The grouped writer tries three times. A caller behind a cut is served
-        sooner by an answer, and comes again with the same identity.
+        The grouped writer tries three times. On a partitioned host the caller is
+        better served by an early answer, and retries with the same job ID.
         """
         write = asyncio.ensure_future(self.inbox.write(change))
         done, _ = await asyncio.wait({write}, timeout=INBOX_WRITE_TIMEOUT_S)
         return write.result() if done else OutcomeUnknown()
 
-    # --- asking ---------------------------------------------------------------
+    # --- queries and cancellation ---------------------------------------------
 
     async def state(self, job_id: str, workspace: str = "") -> RequestResult:
-        """Return a job's state: the owner's word, or the table's if that is late.
+        """Return a job's state from the owner, or from the table if the owner is slow.
 
-        To other workspaces than its own a job does not exist.
+        For workspaces other than its own a job does not exist.
         """
         req = JobRequest(job_id=job_id, workspace=workspace)
         query = asyncio.create_task(self._query_owner(req, cancel=False))
@@ -453,7 +459,7 @@
     async def cancel(
         self, job_id: str, *, limit_s: float, workspace: str = ""
     ) -> RequestResult:
-        """Cancel a job, trying until it is settled or the time is up."""
+        """Cancel a job, retrying until the outcome is known or the time is up."""
         req = JobRequest(job_id=job_id, workspace=workspace)
         deadline = self.clock.now() + limit_s * RETRY_TIME_FRACTION
         while True:
@@ -486,7 +492,7 @@
         )
 
     async def _query_owner(self, req: JobRequest, *, cancel: bool) -> JobReply | None:
-        """Return the owner's answer; None where no owner gave one."""
+        """Return the owner's answer, or None if no owner answered."""
         try:
             owner = self.owner()
             if owner is not None:
@@ -498,12 +504,12 @@
             ask = self.peers.cancel if cancel else self.peers.state
             answer = await ask(address, req)
         except errors.PeerUnavailable as exc:
-            LOG.debug("The owner did not answer for job %s: %s", req.job_id, exc)
+            LOG.debug("Owner did not answer query for job %s: %s", req.job_id, exc)
             return None
         return answer if answer.owner else None
 
     def waiting(self, queue: Queue) -> RequestResult:
-        """Return how many jobs of a queue have started nothing."""
+        """Return how many jobs of a queue have not started any task."""
         owner = self.owner()
         if owner is not None:
             number = owner.cluster_state.queue_length(queue.name)
@@ -522,12 +528,12 @@
 
 
 def _inbox_workspace(row: Row) -> str:
-    """Return whose job a row of the inbox is; raises `errors.FindingsError`."""
+    """Return the workspace that owns an inbox row; raises `errors.FindingsError`."""
     return codec.decode(row.value, rows.SpecRow, place=row.key).workspace
 
 
 def find_spec_fault(spec: WorkflowSpec) -> str:
-    """Return what is wrong with a job, or nothing."""
+    """Return a description of the first fault in a job spec, or an empty string."""
     if not spec.steps or len(spec.steps) > MAX_STEPS:
         return f"a job has 1 to {MAX_STEPS} steps"
     if len(spec.program.encode()) > MAX_PROGRAM_BYTES:
--- a/cranberrycleat/workflow/membership.py
+++ b/cranberrycleat/workflow/membership.py
@@ -1,8 +1,8 @@
-"""Which hosts run the system: learned from digests, kept nowhere.
+"""Cluster membership, learned from heartbeats and not persisted.
 
-Each host tells the owner of itself; the owner tells all of all. What a host
-knows is only used to spread calls and to tell a cut from an outage; nothing
-that must be exclusive depends on it.
+Each host sends heartbeats to the owner, which returns the list of all hosts. The
+list is only used to spread calls and to tell a partition from an outage; nothing
+that requires mutual exclusion depends on it.
 """
 
 from typing import Final
@@ -14,19 +14,19 @@
 
 VERSION_MASK: Final = 0xFFFFFFFF
 PEER_LIST_CACHE_S: Final = 0.1
-"""How old the list of hosts may be that the owner tells: a third of a digest's gap."""
+"""Maximum age of the owner's cached peer list: a third of the heartbeat interval."""
 FRESH_HEARTBEAT_S: Final = 1.0
-"""Digests come each 0.3 s and wait 0.3 s for an answer: one may be missed."""
+"""Heartbeats are sent every 0.3 s with a timeout of 0.3 s: one may be missed."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Membership:
-    """The other hosts that were heard of.
+    """The known hosts.
 
     Attributes:
-        entries: Each host and when it was heard of, by address.
-        kept_s: How long a host counts after it was heard of last.
-        learned: The version of an owner's list that was learned last.
+        entries: Each host and when its last heartbeat came, by address.
+        expiry_s: How long a host counts as live after its last heartbeat.
+        peer_list_version: The version of the owner's peer list received last.
     """
 
     entries: dict[str, tuple[PeerEntry, float]] = attrs.field(factory=dict)
@@ -38,7 +38,7 @@
     _cached_version: str = ""
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
-        """Note a host's own word."""
+        """Record a host's heartbeat."""
         entry = PeerEntry(
             address=heartbeat.address,
             data_centre=heartbeat.data_centre,
@@ -47,10 +47,11 @@
         self.entries[heartbeat.address] = (entry, now)
 
     def apply_peer_list(self, reply: HeartbeatReply, now: float) -> None:
-        """Note what the owner tells of the others.
+        """Apply the owner's peer list.
 
-        The list is sent once for each version; the same version again means
-        that all of it still holds. With 45 hosts it is 4 KB, 150 times a second.
+        The list is sent once per version; the same version again means that the
+        whole list is still valid. With 45 hosts the list is 4 KB, and without this
+        it would be sent 150 times a second.
         """
         if reply.peers or reply.peers_version != self.peer_list_version:
             self.peer_list_version = reply.peers_version
@@ -59,11 +60,11 @@
             self.entries[peer.address] = (peer, now)
 
     def peer_list(self, now: float, seen: str) -> tuple[str, tuple[PeerEntry, ...]]:
-        """Return the live hosts' version, and them unless it was seen already.
+        """Return the version of the live peer list, and the list unless already seen.
 
-        Every host asks each 0.3 s, and to list them takes as long as there are hosts:
-        97 listed for each of 97 were 3.5% of what an owner did. So the list is made
-        anew after `LISTED_S`.
+        Every host asks every 0.3 s, and building the list takes time proportional to
+        the number of hosts: with 97 hosts it took 3.5% of the owner's time. So the
+        list is cached for `PEER_LIST_CACHE_S`.
         """
         if now - self._cached_at >= PEER_LIST_CACHE_S:
             self._cached_peers = tuple(
@@ -76,18 +77,19 @@
         )
 
     def live(self, now: float) -> tuple[PeerEntry, ...]:
-        """Return the hosts that were heard of lately."""
+        """Return the hosts that sent a heartbeat within `expiry_s`."""
         since = now - self.expiry_s
         return tuple(
             peer for peer, heartbeat_at in self.entries.values() if heartbeat_at > since
         )
 
     def permit_peers(self, now: float, data_centre: str) -> tuple[str, ...]:
-        """Return the hosts to ask for help, those of a data centre first.
+        """Return the hosts to request permits through, local data centre first.
 
-        Hosts behind a cut count as live for long; a call to one of them is lost with
-        its time limit, which is all that a short step has. So only hosts whose newest
-        word is fresh are asked, unless none is: an owner that has just taken over.
+        Hosts behind a partition count as live for a long time, and a call to one of
+        them costs its whole timeout, which is all the time a short step has. So only
+        hosts with a fresh heartbeat are used, unless there are none, as for an owner
+        that has just taken over.
         """
         known = self.live(now)
         fresh = tuple(
@@ -101,7 +103,7 @@
         return tuple(peer.address for peer in local_first)
 
     def max_strength(self, now: float, within_s: float) -> float:
-        """Return the greatest strength among hosts heard of within a time."""
+        """Return the greatest strength of the hosts with a heartbeat within a time."""
         return max(
             (
                 peer.strength
@@ -112,7 +114,7 @@
         )
 
     def in_other_data_centres(self, data_centre: str, own: str) -> tuple[str, ...]:
-        """Return every known host of another data centre, the newest word first."""
+        """Return all known hosts of other data centres, most recent heartbeat first."""
         known = sorted(self.entries.values(), key=lambda each: -each[1])
         return tuple(
             peer.address
@@ -121,7 +123,7 @@
         )
 
     def silent_data_centres(self, now: float) -> tuple[str, ...]:
-        """Return the data centres all of whose known hosts fell silent of late."""
+        """Return the data centres all of whose known hosts fell silent recently."""
         last_heard: dict[str, float] = {}
         for peer, at in self.entries.values():
             name = peer.data_centre
--- a/cranberrycleat/workflow/node.py
+++ b/cranberrycleat/workflow/node.py
@@ -1,7 +1,7 @@
-"""The node: the one process of the system on a host of the platform.
+"""The node: the scheduler process that runs on each host of the platform.
 
-Every node answers callers, follows the configuration, and is a candidate for
-the ownership. All are equal; none keeps anything that the table does not have.
+Every node serves callers, follows the configuration and is a candidate for
+ownership. All nodes are equal, and none holds state that is not in the table.
 """
 
 import asyncio
@@ -49,26 +49,27 @@
 LOG: Final[logging.Logger] = part_logger("node")
 OWNER_KEY: Final = "owner/cell"
 BALANCER_DRAIN_S: Final = 2.5
-"""The balancer asks each second and sends no new callers after two misses."""
+"""The load balancer checks readiness every second and stops sending new callers
+after two failed checks."""
 IN_FLIGHT_MARGIN_S: Final = 1.5
-"""Left of the time that the platform gives a process to stop, for what is in
-flight: a caller's change takes 0.7 s at most, and its answer must leave."""
+"""Part of the platform's grace period that is reserved for requests in flight: a
+caller's change takes at most 0.7 s, and its answer must still be sent."""
 SETTINGS_POLL_INTERVAL_S: Final = 5.0
-"""How often the settings file is read; it takes a millisecond."""
+"""Interval between reads of the settings file; each takes about 1 ms."""
 MAX_PROBED_PEERS: Final = 2
 FIRST_CONFIG_TIMEOUT_S: Final = 0.5
-"""How long a host that has just started keeps callers waiting for the first
-configuration before it refuses them: one read takes 10 ms, 0.25 s in a slowed
-table. Callers have 3 s in all."""
+"""How long a starting node lets callers wait for the first configuration before it
+refuses them. One read takes 10 ms, or 0.25 s on a slowed-down table; callers wait
+3 s in total."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Node:
-    """One host's process.
+    """The scheduler process of one host.
 
     Attributes:
-        adapter: Speaks to the platform.
-        clock: Counts suspended time.
+        adapter: The platform adapter.
+        clock: A monotonic clock that also counts time while suspended.
     """
 
     adapter: Adapter
@@ -149,14 +150,14 @@
 
     @property
     def url(self) -> str:
-        """The base URL that callers use."""
+        """The base URL for callers."""
         return f"http://{self.adapter.settings.front}"
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here.
+        """Return whether the load balancer should send callers here.
 
-        A host that is cut off sends its callers elsewhere. In an outage of the
-        table no host serves better than another: then all stay ready.
+        An isolated host is not ready, so that its callers use another one. In a
+        table outage no host can serve better than another, so all stay ready.
         """
         reaches_outside = self.in_contact() or self._reachability.reaches_outside()
         config = self._config
@@ -175,13 +176,13 @@
         return ready
 
     def in_contact(self) -> bool:
-        """Tell whether the owner or the table were heard of lately."""
+        """Return whether the owner or the table was reachable recently."""
         owner = self._active_owner()
         owner_connected = owner is not None and owner.store_answers
         return owner_connected or self._reachability.reaches_owner_or_table()
 
     def owner_address(self) -> str:
-        """Return where the owner answers, by the newest word of it."""
+        """Return the owner's address according to the newest information."""
         row = self._lease.latest_row()
         if row is None or row.epoch < self._reachability.owner_hint.epoch:
             return self._reachability.owner_hint.owner_at
@@ -190,7 +191,7 @@
         return row.holder.partition("@")[2].partition("#")[0]
 
     def answer_heartbeat(self, req: Heartbeat) -> HeartbeatReply:
-        """Answer another host's digest."""
+        """Answer another host's heartbeat."""
         owner = self._active_owner()
         if owner is not None:
             return attrs.evolve(
@@ -211,21 +212,22 @@
         )
 
     def _is_dead(self, holder: str) -> bool:
-        """Tell whether an owner is known, or strongly suspected, to be dead.
-
-        Known: another incarnation runs on its host, this process or one that
-        answered. Suspected: nobody listens at its address, or by its own word the
-        table that answers here leaves it without answers. A suspicion may be
-        wrong behind a broken link; then two hosts believe for at most a lease
-        that they own, which the table's conditions, the workers' epochs and
-        the successor's wait (`options.WorkerLeases`) make harmless.
+        """Return whether an owner is known, or strongly suspected, to be dead.
+
+        It is known to be dead if another incarnation runs on its host, either this
+        process or one that answered. It is suspected if connections to its address
+        are refused, or if it reports that it gets no answers from a table that does
+        answer this host. A suspicion can be wrong behind a broken link. Two hosts
+        may then both act as the owner for at most one lease, which conditional
+        writes to the table, the epochs checked by workers and the successor's wait
+        (`options.WorkerLeases`) make harmless.
         """
         host_id, _, _ = holder.partition("#")
         restarted_here = host_id == self._holder_prefix and holder != self._lease.holder
         return restarted_here or self._reachability.is_suspected(holder)
 
     def _suspect_owner(self, answered: str = "") -> None:
-        """Note that the holder seen last does not run, and look at the row."""
+        """Suspect the last known holder to be dead, and check the lease row."""
         row = self._lease.latest_row()
         if row is None or row.released or row.holder in (answered, self._lease.holder):
             return
@@ -244,13 +246,13 @@
         owner = self.owner
         return owner if owner is not None and owner.ready.is_set() else None
 
-    # --- life -----------------------------------------------------------------
+    # --- lifecycle ------------------------------------------------------------
 
     async def start(self) -> None:
-        """Begin to serve; raises OSError where an address is taken.
+        """Start serving; raises OSError if an address is in use.
 
-        Callers come last: their connections wait in the door's queue (see
-        `early_listen`) until there is a configuration to answer them by.
+        Callers are served last: their connections wait in the listen queue (see
+        `early_listen`) until there is a configuration to serve them with.
         """
         cfg = self.adapter.settings
         metrics = Metrics(role="node", name=cfg.name)
@@ -290,7 +292,7 @@
         self._servers.append(server)
 
     def _register_gauges(self, metrics: Metrics) -> None:
-        """Have gauges read this process's state."""
+        """Register gauges that read this process's state."""
         metrics.add_gauge("log.lines.left_out", lambda: float(dropped_lines()))
         metrics.add_gauge("owner.epoch", lambda: float(self._lease.epoch))
         metrics.add_gauge("host.ready", lambda: float(self.is_ready()))
@@ -314,7 +316,7 @@
         return 0.0 if owner is None else float(owner.summary()[key])
 
     async def drain(self) -> None:
-        """Take no new callers, hand the ownership over, finish what is open."""
+        """Stop accepting callers, hand over ownership, finish requests in flight."""
         self.draining = True
         began = self.clock.now()
         emit(events.ProcessDraining(owner=self.owner is not None))
@@ -325,14 +327,14 @@
         await asyncio.sleep(balancer_wait_s(self.adapter.settings.grace_s, spent_s))
 
     def _check_lease_now(self) -> None:
-        """A peer says that the owner's row, or the inbox, has changed."""
+        """Handle a peer's notice that the owner's row or the inbox has changed."""
         self._lease_check_due.set()
         owner = self._active_owner()
         if owner is not None:
             owner.inbox.scan_requested.set()
 
     def _notify_owner(self) -> None:
-        """Have the owner look into the inbox now."""
+        """Notify the owner that the inbox has a new job."""
         address = self.owner_address()
         if self._active_owner() is not None:
             self._check_lease_now()
@@ -343,17 +345,17 @@
         try:
             await self._peers.check_lease(address)
         except errors.PeerUnavailable as exc:
-            LOG.debug("The owner was not told of the inbox: %s", exc)
+            LOG.debug("Owner not notified of the inbox write: %s", exc)
 
     async def _notify_peers(self) -> None:
-        """Have the others look at the owner's row now, not at their next look."""
+        """Ask all peers to check the owner's row now instead of at their next poll."""
         results = await asyncio.gather(
             *(self._peers.check_lease(address) for address in self._peer_addresses()),
             return_exceptions=True,
         )
         for exc in results:
             if isinstance(exc, BaseException):
-                LOG.info("A peer was not told of the release: %r", exc)
+                LOG.info("Peer not notified of the released ownership: %r", exc)
 
     async def stop(self) -> None:
         """Finish requests in flight and close every connection."""
@@ -362,7 +364,7 @@
         await self.http.close()
 
     def reload_settings(self) -> None:
-        """Take in the platform's settings file anew."""
+        """Reload the platform's settings file."""
         try:
             changed = self.adapter.reload_settings()
         except errors.FindingsError as exc:
@@ -376,13 +378,13 @@
             emit(events.SettingsReread(changed=changed))
 
     async def _poll_settings(self) -> None:
-        """Notice changes of the settings file that no signal tells of."""
+        """Detect changes of the settings file that are not signalled by SIGHUP."""
         while True:
             await asyncio.sleep(SETTINGS_POLL_INTERVAL_S)
             self.reload_settings()
 
     def dump(self) -> object:
-        """Return this process's state."""
+        """Return this process's state for diagnostics."""
         config = self._config.follower.current
         return {
             "host": self.adapter.settings.name,
@@ -399,17 +401,17 @@
     # --- background -------------------------------------------------------------
 
     async def _candidacy_loop(self) -> None:
-        """Stand for the ownership, and act while it is held.
+        """Compete for ownership, and act as the owner while it is held.
 
-        A host that drains goes on looking: it still answers the callers that
-        have channels to it, and must know who the owner is.
+        A draining node keeps polling the lease: it still serves callers with open
+        connections and must know who the owner is.
         """
         while True:
             try:
                 won = await self._check_lease()
             except errors.TableUnavailable as exc:
                 self._reachability.record_table_failure()
-                LOG.debug("The owner's row was not read: %s", exc)
+                LOG.debug("Could not read the owner's row: %s", exc)
             else:
                 if won:
                     await self._run_owner()
@@ -419,7 +421,7 @@
             self._lease_check_due.clear()
 
     async def _check_lease(self) -> bool:
-        """Look at the owner's row; return whether the ownership was won."""
+        """Check the owner's row; return whether ownership was won."""
         began = self.clock.now()
         won = False
         if self.draining:
@@ -446,11 +448,11 @@
             await self.owner.run()
         finally:
             self.owner = None
-            # An owner does not look at its row: what it knew of the table is old.
+            # An owner does not poll its row, so its last read of it is out of date.
             self._reachability.record_table_failure()
 
     async def _handover_loop(self) -> None:
-        """Hand the ownership over where a much better host could hold it."""
+        """Hand over ownership when a much stronger host could hold it."""
         while True:
             await asyncio.sleep(options.LEASE_POLL_INTERVAL_S)
             owner = self._active_owner()
@@ -495,7 +497,7 @@
         return owner
 
     def _pools(self) -> frozenset[str] | None:
-        """Return the services that the configuration names."""
+        """Return the names of the configured pools; None without a configuration."""
         config = self._config.follower.current
         return None if config is None else frozenset(each.name for each in config.pools)
 
@@ -521,12 +523,12 @@
         return tuple(peer.address for peer in live if peer.address != self.address)
 
     def _permit_peers(self) -> tuple[str, ...]:
-        """Return the hosts through which permits are asked for, the best first."""
+        """Return the hosts through which to request permits, best first."""
         local = self.adapter.settings.data_centre
         return self._membership.permit_peers(self.clock.now(), local)
 
     async def _heartbeat_loop(self) -> None:
-        """Tell the owner of this host, and learn the queues' lengths."""
+        """Send heartbeats to the owner, and receive the queue lengths."""
         while True:
             address = self.owner_address()
             is_own_address = address == self.address
@@ -561,7 +563,7 @@
             self._suspect_owner()
             return False
         except errors.PeerUnavailable as exc:
-            LOG.debug("The owner did not answer: %s", exc)
+            LOG.debug("Owner did not answer the heartbeat: %s", exc)
             return False
         if not reply.owner and reply.holder:
             self._suspect_owner(reply.holder)
@@ -585,7 +587,7 @@
         )
 
     async def _send_heartbeat_elsewhere(self) -> None:
-        """Find out whether any other data centre can be reached."""
+        """Check whether any other data centre is reachable."""
         cfg = self.adapter.settings
         addresses = self._membership.in_other_data_centres(
             cfg.data_centre, self.address
@@ -595,7 +597,7 @@
             try:
                 reply = await self._peers.heartbeat(address, self._make_heartbeat())
             except errors.PeerUnavailable as exc:
-                LOG.debug("A peer did not answer: %s", exc)
+                LOG.debug("Peer did not answer the heartbeat: %s", exc)
                 continue
             self._apply_hint(reply, asked_at)
             self._reachability.record_remote_answer()
@@ -603,10 +605,10 @@
 
 
 def balancer_wait_s(grace_s: float, spent_s: float) -> float:
-    """Return how long a draining host waits for the balancer to notice.
+    """Return how long a draining node waits for the load balancer to notice.
 
     Args:
-        grace_s: How long the platform gives a process to stop.
-        spent_s: How much of that handing over has taken.
+        grace_s: The platform's grace period for stopping a process.
+        spent_s: How much of it was spent on handing over ownership.
     """
     return max(0.0, min(BALANCER_DRAIN_S, grace_s - spent_s - IN_FLIGHT_MARGIN_S))
--- a/cranberrycleat/workflow/options.py
+++ b/cranberrycleat/workflow/options.py
@@ -1,4 +1,4 @@
-"""The owner's and the doors' settings; every length of time in one place."""
+"""Timing parameters and limits of the owner and the nodes."""
 
 from typing import Final
 
@@ -7,63 +7,64 @@
 from cranberrycleat.workflow.ports import HostResources, LeaseBounds
 
 OWNER_LEASE_S: Final = 0.9
-"""Short urgent work has 0.75 s to spare, so a dead owner must be followed at
-once; a takeover that was not needed costs about 30 ms. Long enough for two
-writes to a store that is slowed 60 times (0.25 s each)."""
+"""Short urgent jobs have only 0.75 s of slack, so a dead owner must be replaced
+quickly; an unnecessary takeover costs about 30 ms. The lease is long enough for two
+writes to a table slowed down 60 times (0.25 s each)."""
 LEASE_POLL_INTERVAL_S: Final = 0.25
-"""How often a candidate looks at the owner's row; each look is a priced call."""
+"""How often a candidate polls the owner's row; each poll is a billed call."""
 LEASE_RENEW_INTERVAL_S: Final = 0.25
-"""The longest time between two writes of an owner with nothing to store."""
+"""Maximum time between two writes of an owner that has nothing to store."""
 WORKER_LEASE_S: Final = 6.0
-"""Must outlive an owner's death: the lease, two looks, and the way to the
-workers come to about 1.5 s, and two owners may die in a row. What is longer
-keeps work of a dead worker waiting."""
+"""Must outlast an owner's death: the owner lease, two polls and reaching the workers
+take about 1.5 s, and two owners may die in a row. A longer lease delays restarting
+the tasks of a dead worker."""
 RENEW_AFTER_LAPSE_S: Final = 4.0
-"""How long an owner without a store goes on renewing what runs. A successor
-waits this out for workers that it cannot reach."""
+"""How long an owner without table access keeps renewing the leases of running tasks.
+A successor waits this long for workers that it cannot reach."""
 STORE_BATCH_DELAY_S: Final = 0.008
-"""How long changes gather before they are stored; a transaction takes 4 ms."""
+"""How long changes are collected before they are stored; a transaction takes 4 ms."""
 STORE_RETRY_INTERVAL_S: Final = 0.1
 TASK_LOOP_INTERVAL_S: Final = 0.2
 DIRECTORY_POLL_INTERVAL_S: Final = 0.5
-"""How often the list of workers is read; leaving workers must get no work
-after 2 s."""
+"""How often the worker directory is read; leaving workers must get no new work after
+2 s."""
 DIRECTORY_FAST_POLL_INTERVAL_S: Final = 0.1
-"""The same for 2.5 s after a takeover and an outage, in which entries come back: a
-successor that knew 15 of 270 workers looked for the others half a second later."""
+"""As above, for 2.5 s after a takeover or an outage, while entries reappear: a
+successor that knew 15 of 270 workers looked for the rest only half a second later."""
 INBOX_POLL_INTERVAL_S: Final = 0.6
 HEARTBEAT_INTERVAL_S: Final = 0.3
-"""How often a host asks the owner for queue lengths, which may be 2 s old; a
-host that is cut off notices by it, and sends its callers elsewhere."""
+"""How often a host sends a heartbeat to the owner. The reply has the queue lengths,
+which may be 2 s old. A missing reply also tells a host that it is isolated and must
+send its callers to another host."""
 PEER_SILENT_S: Final = 8.0
-"""A host that was not heard of for so long is not asked for permits. Longer
-than the gap between two owners: one that takes over needs the others at once."""
+"""A host silent for this long is not asked for permits. It exceeds the gap between
+two owners, since one that takes over needs the other hosts immediately."""
 DATA_CENTRE_SILENT_S: Final = 0.8
-"""Two digests in a row are missing from every host of a data centre."""
+"""Two consecutive heartbeats are missing from every host of a data centre."""
 RETENTION_MARGIN_S: Final = 30.0
 MAX_DELETES_PER_BATCH: Final = 60
 MAX_BATCH_BYTES: Final = 600_000
-"""A transaction holds 1 MB, in which values stand a third longer (base64)."""
+"""A transaction holds 1 MB, and values grow by a third in it (base64)."""
 MAX_BATCH_TRANSFER_S: Final = 0.25
-"""What a transaction may take on its way: it renews the ownership lease too."""
+"""Maximum transfer time of a transaction, since it also renews the owner lease."""
 
 
 @attrs.frozen(kw_only=True)
 class WorkerLeases:
-    """How leases at workers are counted.
+    """Parameters of the leases granted by workers.
 
     Attributes:
-        bounds: What workers promise.
-        length_s: The length granted.
+        bounds: The workers' guarantees about leases.
+        length_s: The lease length requested by the owner.
     """
 
     bounds: LeaseBounds
     length_s: float
 
     def successor_wait_s(self, inherited_s: float) -> float:
-        """Return after how long an earlier owner's leases are over at the latest.
+        """Return how long after a takeover earlier owners' leases may still be valid.
 
-        Counted from the takeover, at a worker that cannot be reached.
+        This applies to a worker that cannot be reached.
 
         Args:
             inherited_s: For how long any earlier owner may still renew (see
@@ -74,12 +75,12 @@
 
 
 def worker_leases(bounds: LeaseBounds) -> WorkerLeases:
-    """Return the leases for a platform's bounds."""
+    """Return the lease parameters for a platform's bounds."""
     return WorkerLeases(
         bounds=bounds, length_s=min(WORKER_LEASE_S, bounds.longest_lease_s)
     )
 
 
 def batch_bytes(room: HostResources) -> int:
-    """Return how many bytes of values one transaction of a host may hold."""
+    """Return the maximum total size of values in one transaction of a host."""
     return min(MAX_BATCH_BYTES, round(MAX_BATCH_TRANSFER_S * room.carries_bytes_s()))
--- a/cranberrycleat/workflow/peer_api.py
+++ b/cranberrycleat/workflow/peer_api.py
@@ -1,4 +1,4 @@
-"""The calls that other processes of the system make to this one."""
+"""HTTP API that a node serves to other nodes."""
 
 from collections.abc import Callable
 from typing import Final
@@ -28,15 +28,15 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PeerApi:
-    """Answers the other processes.
+    """Handlers for calls from other nodes.
 
     Attributes:
-        owner: Tells the owner if it is this process and has taken over.
-        digest: Exchanges digests with another process.
-        look: Makes this process look at the owner's row at once.
-        permits: The permit service as called from this host.
+        owner: Returns the owner if it is this process and has taken over.
+        heartbeat: Answers another node's heartbeat.
+        check_lease: Makes this process check the owner's row immediately.
+        permits: Client for the permit service on this host.
         metrics: This process's metrics.
-        dump: Returns this process's state.
+        dump: Returns this process's state for diagnostics.
     """
 
     owner: Callable[[], Owner | None]
--- a/cranberrycleat/workflow/peering.py
+++ b/cranberrycleat/workflow/peering.py
@@ -1,4 +1,4 @@
-"""Messages between processes of the system, and the calls that carry them."""
+"""Messages exchanged between nodes, and the client that sends them."""
 
 from typing import Final, TypeVar
 
@@ -12,19 +12,19 @@
 
 T = TypeVar("T")
 NEVER_S: Final = 3600.0
-"""What is told for 'never'."""
+"""Age that stands for "never" in messages."""
 PEER_CALL_TIMEOUT_S: Final = 0.9
-"""A whole answer takes about 15 ms, with a slowed store 0.5 s; a caller waits
-3 s and the door has a second way to go after this one."""
+"""A complete answer takes about 15 ms, or 0.5 s with a slowed-down table. Callers
+wait 3 s, and the job front end has a fallback to try after this timeout."""
 HEARTBEAT_TIMEOUT_S: Final = 0.3
-"""A digest waits for no store: what takes longer is a cut or a dead host."""
+"""A heartbeat waits for no table access: longer means a partition or a dead host."""
 STATUS_OK: Final = 200
 STATUS_NOT_OWNER: Final = 421
 
 
 @attrs.frozen(kw_only=True)
 class SubmitRequest:
-    """A door hands a job to the owner; `access` is what its caller was granted."""
+    """Submission of a job to the owner; `access` is the caller's granted access."""
 
     job_id: str
     queue: Queue
@@ -34,15 +34,15 @@
 
 @attrs.frozen(kw_only=True)
 class SubmitReply:
-    """The owner's answer.
+    """The owner's answer to a submission.
 
     Attributes:
         accepted: The job is stored.
-        refused: It was not accepted and never runs.
-        denied: The same, since the caller's key is good no longer.
-        foreign: Another workspace's job has this identity.
-        reason: Why it was refused.
-        retry_after_s: When to come back.
+        refused: The job was not accepted and never runs.
+        denied: As `refused`, because the caller's key is no longer valid.
+        foreign: The job ID belongs to a job of another workspace.
+        reason: Why the job was refused.
+        retry_after_s: When to retry.
     """
 
     accepted: bool = False
@@ -55,7 +55,7 @@
 
 @attrs.frozen(kw_only=True)
 class JobRequest:
-    """A workspace's question for, or its cancelling of, one job."""
+    """A workspace's state query or cancellation for one job."""
 
     job_id: str
     workspace: str = ""
@@ -63,10 +63,10 @@
 
 @attrs.frozen(kw_only=True)
 class JobReply:
-    """What the owner knows of a job.
+    """The owner's view of a job.
 
     Attributes:
-        owner: Whether who answers is the owner.
+        owner: Whether the responder is the owner.
         known: Whether it knows the job.
         state: The job's stored state.
     """
@@ -78,16 +78,15 @@
 
 @attrs.frozen(kw_only=True)
 class Heartbeat:
-    """What a process tells the owner about itself.
+    """A node's report about itself, sent to the owner.
 
     Attributes:
         name: The host's name.
-        address: Where it answers its peers.
-        data_centre: Where it stands.
-        strength: How much owning it can carry now; 0 while it lacks the table or
-            is about to stop.
-        peers_seen: The version of the owner's list of hosts that it has; empty:
-            none.
+        address: The address at which it serves its peers.
+        data_centre: Its data centre.
+        strength: Its current capacity for being the owner; 0 while it cannot reach
+            the table or is about to stop.
+        peers_seen: The version of the owner's peer list that it has; empty for none.
     """
 
     name: str
@@ -99,7 +98,7 @@
 
 @attrs.frozen(kw_only=True)
 class QueueLength:
-    """How many accepted jobs of a queue have started nothing."""
+    """Number of accepted jobs of a queue that have not started any task."""
 
     queue: str
     waiting: int
@@ -107,7 +106,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerEntry:
-    """Another host of the system, by its own word (see `Digest`)."""
+    """Another host, as reported by itself (see `Heartbeat`)."""
 
     address: str
     data_centre: str
@@ -116,19 +115,20 @@
 
 @attrs.frozen(kw_only=True)
 class HeartbeatReply:
-    """What a process tells another, and the owner all others.
+    """Answer to a heartbeat, from the owner or any other node.
 
     Attributes:
-        owner: Whether who answers is the owner.
-        holder: Who answers: name, address and incarnation.
+        owner: Whether the responder is the owner.
+        holder: The responder's name, address and incarnation.
         epoch: The highest epoch that it knows of.
-        owner_at: Where the owner of that epoch answers; empty: not known.
-        lengths: The queues' lengths.
+        owner_at: The address of the owner of that epoch; empty if unknown.
+        lengths: The queue lengths.
         peers_version: The version of the owner's list of live hosts.
-        peers: That list; empty where who asks has this version already.
-        table_silent_s: For how long the owner's table has left a write unanswered.
-        config: The version of the configuration that it holds; 0: none.
-        config_age_s: How long ago that was known to be the newest.
+        peers: That list; empty if the sender already has this version.
+        table_silent_s: For how long the table has left a write of the owner
+            unanswered.
+        config: The configuration version that it holds; 0 for none.
+        config_age_s: How long ago that version was known to be the newest.
     """
 
     owner: bool
@@ -145,12 +145,12 @@
 
 @attrs.frozen(kw_only=True)
 class LeaseCheck:
-    """The ownership has been released: look at its row."""
+    """Notice that the owner's row or the inbox has changed and should be checked."""
 
 
 @attrs.frozen(kw_only=True)
 class PermitRequest:
-    """The owner has another process ask the permit service."""
+    """The owner's request that another node call the permit service."""
 
     step: str
     workers: tuple[str, ...]
@@ -159,7 +159,7 @@
 
 @attrs.frozen(kw_only=True)
 class PermitReply:
-    """The permit service's answer; `answered` is False where there was none."""
+    """The permit service's answer; `answered` is False if there was none."""
 
     answered: bool
     permits: tuple[Permit, ...] = ()
@@ -167,17 +167,17 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PeerClient:
-    """Calls to other processes of the system."""
+    """Client for calls to other nodes."""
 
     http: HttpClient
     timeout_s: float = PEER_CALL_TIMEOUT_S
 
     async def submit(self, address: str, req: SubmitRequest) -> SubmitReply:
-        """Hand in a job; raises `errors.PeerUnavailable`."""
+        """Submit a job; raises `errors.PeerUnavailable`."""
         return await self._call(address, "submit", req, SubmitReply)
 
     async def state(self, address: str, req: JobRequest) -> JobReply:
-        """Ask for a job's state; raises `errors.PeerUnavailable`."""
+        """Query a job's state; raises `errors.PeerUnavailable`."""
         return await self._call(address, "state", req, JobReply)
 
     async def cancel(self, address: str, req: JobRequest) -> JobReply:
@@ -185,7 +185,7 @@
         return await self._call(address, "cancel", req, JobReply)
 
     async def heartbeat(self, address: str, req: Heartbeat) -> HeartbeatReply:
-        """Exchange digests; raises `errors.PeerUnavailable`."""
+        """Send a heartbeat; raises `errors.PeerUnavailable`."""
         return await self._call(
             address,
             "digest",
@@ -195,11 +195,11 @@
         )
 
     async def check_lease(self, address: str) -> None:
-        """Have a peer look at the owner's row now; raises `PeerUnavailable`."""
+        """Ask a peer to check the owner's row now; raises `PeerUnavailable`."""
         await self._call(address, "look", LeaseCheck(), LeaseCheck)
 
     async def permits(self, address: str, req: PermitRequest) -> tuple[Permit, ...]:
-        """Have a peer ask for permits; raises `PermitUnavailable`."""
+        """Have a peer request permits; raises `PermitUnavailable`."""
         try:
             reply = await self._call(
                 address, "permits", req, PermitReply, extra_timeout_s=req.timeout_s
--- a/cranberrycleat/workflow/ports.py
+++ b/cranberrycleat/workflow/ports.py
@@ -1,8 +1,8 @@
-"""The interfaces between this package and a platform, and their messages.
+"""Interfaces between this package and a platform, with their message types.
 
-An adapter (`cranberrycleat.platform` is one) implements the protocols and turns
-its platform's formats into these types. Everything here is in the product's own
-terms; nothing here decides.
+An adapter such as `cranberrycleat.platform` implements the protocols and converts
+its platform's formats to these types. This module is platform-neutral and contains
+no scheduling decisions.
 """
 
 import enum
@@ -16,12 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class PermitTiming:
-    """How long the permit service of a queue takes.
+    """Timing of the permit service of a queue.
 
     Attributes:
-        decide_s: For each call, in seconds.
-        each_s: And for each worker named in it.
-        valid_s: How long a permit is valid after it was given.
+        decide_s: Time per call, in seconds.
+        each_s: Additional time per worker named in the call.
+        valid_s: How long a permit is valid after it was issued.
     """
 
     decide_s: float
@@ -31,19 +31,19 @@
 
 @attrs.frozen(kw_only=True)
 class Queue:
-    """One queue of the configuration.
+    """A job queue defined in the configuration.
 
     Attributes:
-        name: Its name.
+        name: The queue's name.
         host: The host name that callers use.
-        prefix: The path that it starts with, ending in a slash.
-        pool: The service whose workers run its tasks.
-        priority: 0 goes first.
-        max_attempts: Failed attempts of a task before its job has failed.
-        stretch: Its objective in multiples of the job's longest chain of work.
-        objective_s: What is added to that, in seconds.
-        permits: How placement permits are had; None where none are needed.
-        public: Callers need no API key.
+        prefix: The URL path prefix, ending in a slash.
+        pool: The worker pool that runs its tasks.
+        priority: The scheduling priority; 0 is the highest.
+        max_attempts: Failed attempts of a task after which its job fails.
+        stretch: Latency objective in multiples of the job's critical path.
+        objective_s: Constant added to that objective, in seconds.
+        permits: Timing of placement permits; None if none are needed.
+        public: Whether callers need no API key.
     """
 
     name: str
@@ -60,14 +60,14 @@
 
 @attrs.frozen(kw_only=True)
 class Workspace:
-    """One workspace of the configuration: whose callers, keys and quota are its own.
+    """A workspace of the configuration: a tenant with its own callers, keys and quota.
 
     Attributes:
-        name: Its name.
+        name: The workspace's name.
         key_digests: The digests of its API keys (see `access.key_digest`).
-        weight: Its share where demand exceeds the room, and the jobs a second that it
-            is owed; 0: not told.
-        quota: What it may have running over all workers; 0: no limit.
+        weight: Its share when demand exceeds capacity, and the jobs per second that
+            it is entitled to; 0 if not configured.
+        quota: Limit on its running tasks' resources over all workers; 0 for no limit.
     """
 
     name: str
@@ -78,11 +78,11 @@
 
 @attrs.frozen(kw_only=True)
 class PoolConfig:
-    """One pool of workers: a service of the configuration.
+    """A worker pool, called a service in the platform's configuration.
 
     Attributes:
-        name: Its name.
-        standby: Its machines are off until they are moved elsewhere.
+        name: The pool's name.
+        standby: Whether its machines are off until they are moved to another pool.
     """
 
     name: str
@@ -91,13 +91,13 @@
 
 @attrs.frozen(kw_only=True)
 class ClusterConfig:
-    """The configuration in force.
+    """One version of the cluster configuration.
 
     Attributes:
-        version: Grows with each change.
+        version: The version number, which increases with each change.
         queues: The queues.
-        pools: The services.
-        workspaces: The workspaces; None where there are none, and callers need no key.
+        pools: The worker pools.
+        workspaces: The workspaces; None if there are none, so that callers need no key.
     """
 
     version: int
@@ -108,22 +108,23 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerEntry:
-    """One worker as it registered itself.
+    """A worker as it registered itself.
 
     Attributes:
-        worker: Its identity; one that starts again may keep it.
-        pool: The service it belongs to.
+        worker: The worker's identity, which may be kept across restarts.
+        pool: The pool it belongs to.
         address: IP and port.
-        data_centre: Where it stands.
-        leaving: It draws no more work and will stop.
-        leaves_in_s: How long it stays at least, once it is leaving; None: not told.
-        capacity: What it has.
-        labels: Its kind and its rack.
+        data_centre: Its data centre.
+        leaving: Whether it is draining: it gets no more work and will stop.
+        leaves_in_s: Minimum time until a leaving worker stops; None if not reported.
+        capacity: Its resources.
+        labels: Its kind, followed by its racks.
         worker_time_ms: Its own clock when it wrote the entry.
-        readable: Its newest row could be read. One that turned unreadable keeps
-            what it said before, and draws nothing until it can be read again.
-        born_ms: When this incarnation of it started, in milliseconds since 1970;
-            0 where the platform does not tell.
+        readable: Whether its newest row could be decoded. A worker whose row became
+            unreadable keeps its previous entry and gets no work until the row is
+            readable again.
+        born_ms: Start time of this incarnation, in milliseconds since 1970; 0 if the
+            platform does not report it.
     """
 
     worker: str
@@ -140,13 +141,13 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of this life of the worker."""
+        """The identifier of this incarnation of the worker."""
         return f"{self.worker}@{self.born_ms}" if self.born_ms else self.worker
 
     def for_incarnation(self, born_ms: int) -> "WorkerEntry":
-        """Return the entry of an incarnation that has not registered itself yet.
+        """Return an entry for an incarnation that has not registered itself yet.
 
-        It may be of another kind and size, and draws nothing until that is known.
+        Its kind and size may differ, so it gets no work until they are known.
         """
         return attrs.evolve(
             self, born_ms=born_ms, readable=False, leaving=False, leaves_in_s=None
@@ -154,23 +155,23 @@
 
     @property
     def racks(self) -> tuple[str, ...]:
-        """Its labels but the first, which is its kind."""
+        """All labels except the first, which is the worker's kind."""
         return self.labels[1:]
 
 
 def may_be_same_incarnation(born_ms: int, other_ms: int) -> bool:
-    """Tell whether two starts of a worker may be the same; 0 is one not told."""
+    """Return whether two start times may be of one incarnation; 0 means unknown."""
     return born_ms == other_ms or not born_ms or not other_ms
 
 
 def identity_of(incarnation: str) -> str:
-    """Return the identity of the worker that an incarnation is of."""
+    """Return the worker identity of an incarnation."""
     return incarnation.partition("@")[0]
 
 
 @attrs.frozen(kw_only=True)
 class TableChange:
-    """One changed row; `row` is None where it was deleted."""
+    """A changed row; `row` is None if it was deleted."""
 
     key: str
     row: Row | None
@@ -182,9 +183,9 @@
 
     Attributes:
         changes: The changes.
-        version: The version that they lead to.
-        size: Bytes that carried them, as far as the table tells.
-        read_s: How long these took to arrive once they began to.
+        version: The version after the last change.
+        size: Size of the answer in bytes, if the table reports it.
+        read_s: Time from the first to the last byte of the answer.
     """
 
     changes: tuple[TableChange, ...]
@@ -194,22 +195,22 @@
 
 
 class HistoryExpired(Exception):
-    """The changes asked for are no longer kept; read the whole table."""
+    """The requested changes are no longer kept; the whole table must be read."""
 
 
 class FeedTooLarge(Exception):
-    """The changes asked for take more bytes than were wanted; read the whole table."""
+    """The requested changes exceed the size limit; the whole table must be read."""
 
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """All rows of one table from one point in time, and its version.
+    """A consistent snapshot of one table, with its version.
 
     Attributes:
         rows: The rows.
-        version: The version to follow them from.
-        size: Bytes that carried them, as far as the table tells.
-        read_s: How long these took to arrive once they began to.
+        version: The version from which to follow changes.
+        size: Size of the answer in bytes, if the table reports it.
+        read_s: Time from the first to the last byte of the answer.
     """
 
     rows: tuple[Row, ...]
@@ -219,10 +220,10 @@
 
 
 class FeedTable(Table, Protocol):
-    """A table that also tells what has changed."""
+    """A table with a change feed."""
 
     async def snapshot(self, *, table: str) -> Snapshot:
-        """Return a table's rows and the version to follow it from.
+        """Return a table's rows and the version from which to follow changes.
 
         Raises:
             TableUnavailable: The table gave no answer.
@@ -231,27 +232,28 @@
     async def follow(
         self, *, table: str, after: int, wait_s: float, max_bytes: int | None = None
     ) -> Feed:
-        """Return what changed after a version, or nothing after `wait_s`.
+        """Return the changes after a version, or an empty feed after `wait_s`.
 
         Raises:
-            HistoryGone: That version is too old.
-            FeedTooLong: What changed takes more than `most_bytes`.
+            HistoryExpired: That version is too old.
+            FeedTooLarge: The changes take more than `max_bytes`.
             TableUnavailable: The table gave no answer.
         """
 
 
 @attrs.frozen(kw_only=True)
 class StartOrder:
-    """An order to start one attempt of one task.
+    """An order to start one attempt of a task.
 
     Attributes:
         task: The task's name.
-        attempt: Grows with each start of the task.
-        program: What to run.
-        lease_end_ms: On the worker's clock: the order's bound, and the lease.
-        fence: A worker that has seen a higher one refuses the order.
-        saved: The progress to resume from; empty for none.
-        permit: The placement permit; empty where none is needed.
+        attempt: The attempt number, which increases with each start of the task.
+        program: The program to run.
+        lease_end_ms: On the worker's clock, both the order's deadline and the end of
+            the task's lease.
+        fence: Fencing token; a worker that has seen a higher one rejects the order.
+        saved: The checkpoint to resume from; empty for none.
+        permit: The placement permit; empty if none is needed.
     """
 
     task: str
@@ -278,7 +280,7 @@
 
 @attrs.frozen(kw_only=True)
 class OrderReply:
-    """A worker's verdict and its clock (None: not told)."""
+    """A worker's verdict and its clock (None if not reported)."""
 
     verdict: Verdict
     worker_time_ms: int | None = None
@@ -286,16 +288,16 @@
 
 @attrs.frozen(kw_only=True)
 class RunningTask:
-    """What a worker says of an attempt that runs.
+    """A worker's report on a running attempt.
 
     Attributes:
         task: The task's name.
-        attempt: The attempt.
-        saved: Its newest saved progress.
-        percent: The share at which it works; below 100 while it starts up or is
+        attempt: The attempt number.
+        saved: Its latest checkpoint.
+        percent: The speed at which it runs; below 100 while it starts up or is
             throttled.
-        reading: For a serving task its tail latency in milliseconds, for others
-            the processors in use in thousandths; None: not told.
+        reading: For a serving task its tail latency in milliseconds, for others the
+            processors in use in thousandths; None if not reported.
     """
 
     task: str
@@ -318,7 +320,7 @@
 
 @attrs.frozen(kw_only=True)
 class EndedTask:
-    """An attempt that ended; `number` counts the ends of one worker life."""
+    """An ended attempt; `number` counts the ends within one worker incarnation."""
 
     number: int
     task: str
@@ -329,13 +331,13 @@
 
 @attrs.frozen(kw_only=True)
 class SyncReply:
-    """All that runs on a worker, and all ends that were not acknowledged.
+    """All running attempts on a worker, and all ends not yet acknowledged.
 
     Attributes:
         worker_time_ms: The worker's clock.
-        running: What runs.
-        ended: What has ended, in the order of its numbers.
-        born_ms: When the incarnation that answers started (see `WorkerEntry`).
+        running: The running attempts.
+        ended: The ended attempts, ordered by number.
+        born_ms: Start time of the incarnation that answered (see `WorkerEntry`).
     """
 
     worker_time_ms: int
@@ -345,24 +347,24 @@
 
 
 class WorkerUnreachable(Exception):
-    """No whole answer came; the order may have been or may yet be carried out."""
+    """No complete answer arrived; the order may have been or may yet be executed."""
 
 
 class WorkerReplaced(Exception):
-    """Another life of the worker answers at that address."""
+    """A different incarnation of the worker answers at that address."""
 
 
 class WorkerClient(Protocol):
-    """Orders to workers."""
+    """Client for sending orders to workers."""
 
     async def start(
         self, entry: WorkerEntry, order: StartOrder, *, limit_s: float
     ) -> OrderReply:
-        """Order a start, and wait so long for the answer.
+        """Order a start, and wait up to `limit_s` for the answer.
 
         Raises:
-            WorkerUnreachable: No whole answer came.
-            WorkerReplaced: The life that the entry names is over.
+            WorkerUnreachable: No complete answer arrived.
+            WorkerReplaced: The incarnation named by the entry no longer runs.
         """
 
     async def stop(
@@ -373,7 +375,7 @@
     async def throttle(
         self, entry: WorkerEntry, task: str, attempt: int, percent: int, fence: int
     ) -> OrderReply:
-        """Have a task work at a share of its speed; raises as `start`."""
+        """Throttle a task to a percentage of its speed; raises as `start`."""
 
     async def sync(
         self,
@@ -384,19 +386,20 @@
         lease_end_ms: int | None,
         wait_ms: int,
     ) -> SyncReply | OrderReply:
-        """Renew the lease of all that runs there and return both lists.
+        """Renew the leases of all running attempts; return these and the ended ones.
 
-        Another incarnation under the same identity may answer; the reply tells. Ends
-        are acknowledged only over a connection on which the one that the entry names
-        has answered, since the numbers of one say nothing to another.
+        A different incarnation with the same identity may answer, as the reply shows.
+        Ends are acknowledged only over a connection on which the incarnation named by
+        the entry has answered, since the numbers of one incarnation mean nothing to
+        another.
 
         Raises:
-            WorkerUnreachable: No whole answer came.
-            WorkerReplaced: The life that the entry names is over.
+            WorkerUnreachable: No complete answer arrived.
+            WorkerReplaced: The incarnation named by the entry no longer runs.
         """
 
     async def release(self, entry: WorkerEntry) -> None:
-        """Close what is kept open for an incarnation that is over."""
+        """Close the connections kept open for an incarnation that has ended."""
 
 
 @attrs.frozen(kw_only=True)
@@ -408,29 +411,29 @@
 
 
 class PermitUnavailable(Exception):
-    """The permit service gave no answer, or has too much to do."""
+    """The permit service gave no answer, or is overloaded."""
 
 
 class PermitClient(Protocol):
-    """The service that knows which workers may run a step."""
+    """Client for the service that decides which workers may run a step."""
 
     async def ask(
         self, *, step: str, workers: tuple[str, ...], timeout_s: float
     ) -> tuple[Permit, ...]:
-        """Return permits for those of the workers that may run the step.
+        """Return permits for those of the given workers that may run the step.
 
         Raises:
-            PermitUnavailable: No answer came.
+            PermitUnavailable: No answer arrived.
         """
 
 
 @attrs.frozen(kw_only=True)
 class LeaseBounds:
-    """What the workers promise about leases.
+    """The workers' guarantees about leases.
 
     Attributes:
         longest_lease_s: The longest lease a worker grants.
-        clock_error: The largest error of a worker's clock rate, as a share.
+        clock_error: The largest error of a worker's clock rate, as a fraction.
         stop_s: The longest time a stop takes.
     """
 
@@ -439,53 +442,53 @@
     stop_s: float
 
     def max_run_on_s(self) -> float:
-        """Return how long anything may run on after the last order that reached it."""
+        """Return how long a task may run on after the last order received by it."""
         return self.longest_lease_s / (1 - self.clock_error) + self.stop_s
 
 
 @attrs.frozen(kw_only=True)
 class HostResources:
-    """What a host has for one process.
+    """Resources that a host provides for the node process.
 
     Attributes:
-        processors: In cores of the platform's usual speed.
-        link_mbps: Its network link, in megabits a second.
+        processors: Processor capacity, in cores of the platform's standard speed.
+        link_mbps: Bandwidth of its network link, in megabits per second.
     """
 
     processors: float
     link_mbps: float
 
     def carries_bytes_s(self) -> float:
-        """Return how many bytes a second one transfer can count on.
+        """Return the bandwidth in bytes per second that one transfer can rely on.
 
-        Half of the link: others use it too.
+        It is half of the link's, since other transfers use the link too.
         """
         return self.link_mbps * 1e6 / 8 / 2
 
 
 @attrs.frozen(kw_only=True)
 class NodeSettings:
-    """What a process is told about itself and its platform at start.
+    """Settings of a node and its platform.
 
     Attributes:
         name: The host's name.
-        data_centre: Where it stands.
-        ip: The address that peers reach it at.
-        peer_port: The port for calls between processes of the system.
-        front: Where callers connect.
-        ready: Where the balancer asks whether to send callers.
+        data_centre: The host's data centre.
+        ip: The IP address for peers.
+        peer_port: The port for calls between nodes.
+        front: The listen address for callers.
+        ready: The listen address for the load balancer's readiness checks.
         store: The table's address.
-        permits: The permit service's address; empty where there is none.
-        machines: The address of the interface to machines; empty: none.
-        bounds: What workers promise about leases.
-        room: What the host has.
-        spread_factor: How much longer tasks take away from their data.
+        permits: The permit service's address; empty if there is none.
+        machines: The address of the machine API; empty if there is none.
+        bounds: The workers' guarantees about leases.
+        room: The host's resources.
+        spread_factor: Factor by which tasks take longer away from their data.
         status_s: How long an ended job's state is kept.
-        grace_s: How long a process has between SIGTERM and its end.
-        config_bound_s: Within which time of its acknowledgement a configuration
-            is in force everywhere.
-        revoke_bound_s: Within which time a key that was taken away is good nowhere,
-            on hosts that are cut off either; None: no such bound.
+        grace_s: Time between SIGTERM and the forced end of the process.
+        config_bound_s: Time after its acknowledgement within which a configuration
+            must be active on every host.
+        revoke_bound_s: Time within which a revoked key must be rejected by every
+            host, including isolated ones; None for no such bound.
     """
 
     name: str
@@ -507,4 +510,4 @@
 
 
 MAX_WORKERS_PER_PERMIT_CALL: Final = 100
-"""Workers that one call to the permit service may name."""
+"""Maximum number of workers that one call to the permit service may name."""
--- a/cranberrycleat/workflow/repeating_event.py
+++ b/cranberrycleat/workflow/repeating_event.py
@@ -1,4 +1,4 @@
-"""A signal that fires again and again, for any number of waiting tasks."""
+"""An event that can fire repeatedly and wakes all waiting tasks each time."""
 
 import asyncio
 
@@ -7,15 +7,15 @@
 
 @attrs.define(kw_only=True, eq=False)
 class RepeatingEvent:
-    """Each `wait` ends with the next `fire`, never with one that was before."""
+    """An event without state: `wait` returns at the next `fire`, not a past one."""
 
     _event: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     async def wait(self) -> None:
-        """Wait until the signal fires next."""
+        """Wait for the next `fire`."""
         await self._event.wait()
 
     def fire(self) -> None:
-        """End every wait that is under way."""
+        """Wake all current waiters."""
         fired, self._event = self._event, asyncio.Event()
         fired.set()
--- a/cranberrycleat/workflow/telemetry.py
+++ b/cranberrycleat/workflow/telemetry.py
@@ -1,7 +1,8 @@
-"""Metrics of a node, counted from its events.
+"""Metrics of a node, derived from its logged events.
 
-What is logged is what is counted, so that the two cannot disagree. Names follow
-OpenTelemetry's conventions: a noun, its event, seconds where they are times.
+Metrics are computed from the same events that are logged, so the two cannot
+disagree. Names follow OpenTelemetry's conventions: a noun and its event, with
+durations in seconds.
 """
 
 from typing import Any
@@ -14,7 +15,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Telemetry:
-    """Counts events.
+    """Updates metrics from events.
 
     Attributes:
         metrics: The process's metrics.
@@ -23,7 +24,7 @@
     metrics: Metrics
 
     def record_event(self, event: Any) -> None:
-        """Count one event."""
+        """Update the metrics for one event."""
         self._record_job_event(event)
         self._record_task_event(event)
         self._record_owner_event(event)
--- a/tests/config_soak.py
+++ b/tests/config_soak.py
@@ -1,11 +1,11 @@
-"""Plays random changes of the configuration and faults: `python -m tests.config_soak`.
-
-Hosts follow one table, each over a slow link of its own, while versions of random
-sizes come in series and answers break off, fall silent, are refused, lose their
-history, and the hosts stand still. Judged by what the operator wrote: no host ever
-goes back, none holds a part of a version or a mixture, and once the faults are over
-all hold the newest and know it. A seed repeats what is drawn, not every
-interleaving: it uses real time.
+"""Soak test of configuration changes under faults: `python -m tests.config_soak`.
+
+Hosts follow one table, each over its own slow link, while versions of random sizes are
+written singly and in series. Faults: answers are truncated, stall or are refused, the
+table drops its history, and the process is paused. Checks against the versions that the
+operator wrote: no host goes back to an older version, none holds a partial or mixed
+one, and after the faults end all hold the newest and consider it current. A seed
+repeats the random choices but not the interleaving, since the test uses real time.
 """
 
 import asyncio
@@ -35,20 +35,20 @@
     "forget",
     "pause",
 )
-"""What is drawn from; writes twice as often."""
+"""Random actions; writes are twice as likely as each other action."""
 MAX_PAUSE_S: Final = 1.3
-"""Longer than a reading may bring nothing."""
+"""Exceeds the stall timeout of a read."""
 MAX_QUEUES: Final = 600
 CONVERGENCE_TIMEOUT_S: Final = 20.0
-"""Far longer than two readings, a silent one among them."""
+"""Far longer than two reads, including a stalled one."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Host:
-    """One host, and what it held.
+    """A host and its history of configurations.
 
     Attributes:
-        follower: Its configuration.
+        follower: Its configuration follower.
         history: The versions that it held, each with its number of queues.
     """
 
@@ -56,7 +56,7 @@
     history: list[tuple[int, int]] = attrs.field(factory=list)
 
     async def follow(self) -> None:
-        """Follow for ever, noting what is held."""
+        """Follow the configuration forever, recording the version held."""
         while True:
             try:
                 await self.follower.follow(WAIT_S)
@@ -69,13 +69,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Soak:
-    """One run.
+    """A soak run.
 
     Attributes:
-        seed: What is drawn.
-        seconds: How long changes and faults come.
+        seed: Seed of the random choices.
+        seconds: Duration of the phase with changes and faults.
         written: The versions that the operator wrote, with their numbers of queues.
-        faults: What was done, for whoever reads a failure.
+        faults: The actions performed, printed with a failure.
     """
 
     seed: int
@@ -89,7 +89,7 @@
         self.written[1] = 1
 
     async def run(self) -> list[str]:
-        """Play it; return what is wrong."""
+        """Run the soak; return the violations found."""
         async with slow_link(self._rng.uniform(0.05, 1.6)) as (table, store):
             hosts = [self._host(store) for _ in range(HOSTS)]
             tasks = [asyncio.create_task(host.follow()) for host in hosts]
@@ -147,7 +147,7 @@
                 host.follower.note_version(version, time.monotonic())
 
     async def _await_convergence(self, table: SlowLinkTable, hosts: list[Host]) -> None:
-        """End the faults, and wait until all hold the newest."""
+        """Stop the faults and wait until all hosts hold the newest version."""
         table.break_off_at = table.silent_at = table.refusals = 0
         newest = max(self.written)
         with contextlib.suppress(TimeoutError):
@@ -184,10 +184,14 @@
 @click.option("--seed", type=int, default=1, show_default=True, help="The first seed.")
 @click.option("--runs", type=int, default=10, show_default=True, help="How many seeds.")
 @click.option(
-    "--seconds", type=float, default=6.0, show_default=True, help="Of trouble, each."
+    "--seconds",
+    type=float,
+    default=6.0,
+    show_default=True,
+    help="Length of each fault phase.",
 )
 def main(seed: int, runs: int, seconds: float) -> None:
-    """Play some seeds; exits with 1 where one shows a fault."""
+    """Run some seeds; exits with 1 if any finds a violation."""
     failed = 0
     for each in range(seed, seed + runs):
         soak = Soak(seed=each, seconds=seconds)
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A small TCP relay that can be cut, to part one process from another."""
+"""A TCP relay that can be cut to simulate a partition between two processes."""
 
 import socket
 import threading
@@ -11,11 +11,11 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Relay:
-    """Passes connections on to a target until it is cut.
+    """Forwards connections to a target until it is cut.
 
     Attributes:
-        target: Host and port to pass connections on to.
-        cut: Whether connections are refused and open ones broken.
+        target: Host and port to forward connections to.
+        cut: Whether new connections are closed immediately.
     """
 
     target: tuple[str, int]
@@ -30,18 +30,18 @@
 
     @property
     def url(self) -> str:
-        """The base URL to connect to instead of the target's."""
+        """The relay's base URL, to be used instead of the target's."""
         return f"http://127.0.0.1:{self._listener.getsockname()[1]}"
 
     def cut_connections(self) -> None:
-        """Break every connection and refuse new ones."""
+        """Close all connections and refuse new ones."""
         self.cut = True
         for conn in self._open:
             conn.close()
         self._open.clear()
 
     def restore(self) -> None:
-        """Pass connections on again."""
+        """Forward connections again."""
         self.cut = False
 
     def _accept(self) -> None:
@@ -53,7 +53,7 @@
             try:
                 upstream = socket.create_connection(self.target)
             except OSError:
-                # The target is gone; a caller sees that its connection ends.
+                # The target is down; the client sees its connection closed.
                 conn.close()
                 continue
             self._open += [conn, upstream]
--- a/tests/slow_table.py
+++ b/tests/slow_table.py
@@ -1,4 +1,4 @@
-"""The operator's table behind a slow link, by its published protocol, with faults."""
+"""A fake of the platform's table, served over HTTP on a slow link, with faults."""
 
 import asyncio
 import base64
@@ -18,10 +18,10 @@
 
 QUEUES: Final = 400
 WAIT_S: Final = 0.1
-"""For how long the table holds a question for changes open."""
+"""Long-poll time of a request for changes."""
 STEP_S: Final = 0.02
 READ_DEADLINE_S: Final = 12.0
-"""Longer than any number of readings that a test allows."""
+"""Longer than all reads that a test allows."""
 
 
 def document(version: int, queues: int = QUEUES) -> str:
@@ -40,22 +40,22 @@
 
 
 VERSION_BYTES: Final = len(base64.b64encode(document(1).encode()))
-"""What a version of `QUEUES` queues is on the link."""
+"""Size of a version with `QUEUES` queues as sent over the link."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class SlowLinkTable:
-    """The operator's table by its published protocol, behind a slow link.
+    """ASGI app with the platform table's published protocol, behind a slow link.
 
     Attributes:
-        transfer_s: How long the link takes for a version of `QUEUES` queues.
-        history: Every change, each in full, as the table keeps them.
-        sent: Bytes that went over the link.
-        asked: The calls that came, in order.
-        break_off_at: Bytes after which the next answer's connection ends.
-        silent_at: Bytes after which the next answer's connection falls silent.
-        refusals: How many of the next calls are turned away.
-        kept_from: Changes up to this version are no longer kept.
+        transfer_s: Transfer time of a version with `QUEUES` queues.
+        history: All changes, each with the full row, as the table keeps them.
+        sent: Bytes sent over the link.
+        asked: The paths of the calls received, in order.
+        break_off_at: Bytes after which the next answer's connection closes.
+        silent_at: Bytes after which the next answer's connection stalls.
+        refusals: How many of the next calls are refused.
+        expired_upto: Changes up to this version are no longer kept.
     """
 
     transfer_s: float
@@ -68,7 +68,7 @@
     expired_upto: int = 0
 
     def forget(self) -> None:
-        """Drop all history, as the platform may at any time."""
+        """Drop the whole history, as the platform may at any time."""
         self.expired_upto = self.history[-1]["schema_ver"]
 
     def write(self, version: int, queues: int = QUEUES) -> None:
@@ -79,11 +79,11 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the newest row."""
+        """Size of the newest row in bytes."""
         return len(json.dumps(self.history[-1]))
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request at the link's pace, until the caller has left."""
+        """Answer one request at the link's speed, until the client disconnects."""
         await read_body(receive)
         args = dict(parse_qsl(scope["query_string"].decode()))
         self.asked.append(scope["path"])
@@ -110,10 +110,10 @@
             disconnected.cancel()
 
     async def _changed(self, after: int, wait_ms: int) -> tuple[dict[str, Any], ...]:
-        """Return the history once it has something new, or after the wait.
+        """Return the history once it has a newer version, or after the wait.
 
-        Of one moment: rows and version of an answer must belong together, and the
-        operator writes in another thread.
+        The returned tuple is consistent: an answer's rows and version must belong
+        together, and the operator writes from another thread.
         """
         for _ in range(round(wait_ms / 1000 / STEP_S)):
             if self.history[-1]["schema_ver"] > after:
@@ -149,9 +149,9 @@
 async def slow_link(
     transfer_s: float,
 ) -> AsyncIterator[tuple[SlowLinkTable, PlatformStore]]:
-    """Run such a table and a client of it; version 1 is there and small.
+    """Run the table and a client for it; it starts with version 1, which is small.
 
-    The table has a thread of its own, so that it goes on while a host stands still.
+    The table runs in its own thread, so it continues while the hosts are paused.
     """
     table = SlowLinkTable(transfer_s=transfer_s)
     table.write(1, queues=1)
@@ -172,7 +172,7 @@
 
 
 async def _shut_down(server: HttpServer) -> None:
-    """Stop a server at once, and what it was still answering."""
+    """Stop a server immediately, and cancel the requests in progress."""
     await server.kill()
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
@@ -183,5 +183,5 @@
 async def on_loop(
     loop: asyncio.AbstractEventLoop, work: Coroutine[Any, Any, None]
 ) -> None:
-    """Wait for what runs on another thread's event loop."""
+    """Run a coroutine on another thread's event loop and wait for it."""
     await asyncio.wrap_future(asyncio.run_coroutine_threadsafe(work, loop))
--- a/tests/test_job_frontend.py
+++ b/tests/test_job_frontend.py
@@ -1,4 +1,4 @@
-"""The door: what callers are told when owner or table do not answer."""
+"""Job front end: answers to callers while the owner or the table does not respond."""
 
 import asyncio
 from typing import cast
@@ -15,7 +15,7 @@
 
 
 def state(owner: Owner, job_id: str) -> str:
-    """Return the state that callers are told."""
+    """Return the job state reported to callers."""
     return owner.state(job_id).state
 
 
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("fault", [_lost_reply, _slow_table])
 def test_submit_survives_table_fault(fault) -> None:  # type: ignore[no-untyped-def]
-    """A lost reply or a slow table does not leave the caller without an answer."""
+    """A lost reply or a slow table must not leave the caller without an answer."""
 
     async def run() -> None:
         async with cell() as made:
@@ -43,7 +43,7 @@
 
 
 def test_submit_without_owner_writes_to_inbox() -> None:
-    """The next owner finds it there; a repeat is the same job."""
+    """The next owner runs the job from the inbox; a repeated submission is one job."""
 
     async def run() -> None:
         async with cell() as made:
@@ -62,7 +62,7 @@
 
 
 def test_submit_on_isolated_host_is_refused_immediately() -> None:
-    """Nothing is sent, so the refusal is true, and the caller goes elsewhere."""
+    """Nothing was sent, so the job never runs and the caller can use another host."""
 
     async def run() -> None:
         async with cell() as made:
@@ -75,7 +75,7 @@
 
 
 def test_possibly_stored_job_is_never_refused() -> None:
-    """With the table down after a commit left, the answer is 'unknown'."""
+    """If all replies to commits are lost, the answer is 'unknown'."""
 
     async def run() -> None:
         async with cell() as made:
@@ -89,20 +89,20 @@
 
 
 class _UnresponsiveOwner:
-    """An owner that took a job and gives no answer, as one that just died."""
+    """An owner that accepts a job and never answers, like one that just died."""
 
     async def submit(self, req: SubmitRequest) -> SubmitReply:
-        """Answer nothing for longer than any caller waits."""
+        """Block for longer than any caller waits."""
         await asyncio.sleep(60)
         return SubmitReply()
 
     def state(self, job_id: str) -> JobReply:
-        """Know nothing."""
+        """Return that no job is known."""
         return JobReply(owner=True)
 
 
 def test_unresponsive_owner_does_not_delay_submit() -> None:
-    """The job goes to the inbox beside, where the next owner finds it."""
+    """The job is also written to the inbox, where the next owner finds it."""
 
     async def run() -> None:
         async with cell() as made:
@@ -117,7 +117,7 @@
 
 
 def test_submit_returns_promptly_when_host_becomes_isolated() -> None:
-    """It does not hold a caller while a write to the inbox is tried again."""
+    """The caller must not be blocked while a write to the inbox is retried."""
 
     async def run() -> None:
         async with cell() as made:
@@ -137,8 +137,8 @@
     run_async(run())
 
 
-# Guards against a refusal that is not true: a first try may have stored the job, and an
-# owner that is asked next has heard that the caller's key is gone.
+# Guards against a false refusal: the first attempt may have stored the job before the
+# owner asked next learned that the caller's key was revoked.
 def test_possibly_stored_job_is_never_denied() -> None:
     async def run() -> None:
         async with cell() as made:
@@ -147,7 +147,7 @@
                 tries = 0
 
                 async def submit(self, req: SubmitRequest) -> SubmitReply:
-                    """Leave the first try unsettled, and deny the next."""
+                    """Leave the first attempt undecided and deny the next."""
                     self.tries += 1
                     if self.tries == 1:
                         return SubmitReply()
@@ -162,23 +162,23 @@
 
 
 class _UnavailableTable:
-    """A table that gives no answer to readers."""
+    """A table that does not answer reads."""
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Give no answer."""
+        """Fail as an unreachable table does."""
         raise errors.TableUnavailable("down")
 
 
 class _UnknownRowFormat:
-    """A table whose rows nobody here can decode."""
+    """A table whose rows have an unknown format."""
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Return rows of an unknown form."""
+        """Return rows of an unknown format."""
         return tuple(Row(key=key, version=1, value="[]") for key in keys)
 
 
-# Guards against a submission that ends in an unhandled error: its identity stands in
-# the inbox already, and whose it is cannot be read.
+# Guards against an unhandled error in a submission whose job ID is already in the inbox
+# while the owning workspace of that row cannot be read.
 @pytest.mark.parametrize("store", [_UnavailableTable(), _UnknownRowFormat()])
 def test_repeated_submit_with_unreadable_inbox_row_is_answered(store: object) -> None:
     async def run() -> None:
--- a/tests/test_large_config.py
+++ b/tests/test_large_config.py
@@ -1,19 +1,17 @@
-"""A configuration that takes long to read comes into force all the same.
-
-What was seen: a caller was served on a queue that the newest configuration no longer
-had, seconds after that configuration had been acknowledged. 6 hosts with fast links
-had it in force within 0.3 s, 39 with links of 5 Mbit/s not for 22 s and more; their
-links were full all the while, their processors idle, and their logs silent.
-
-How it came about: the configuration had grown to 4,245 queues, 1,019 KB as the table
-sends it, 1.74 s on such a link. A reading was given what the question may wait (1 s)
-and what a short answer may take (0.7 s at most), for all that it carried. So each was
-cut off, threw away what had come and began anew, until the table forgot its history
-and was read as a whole, which had 1.5 s more.
-
-What proved it: logs of a run with such a configuration, in which each reading ended at
-1.70 s with 982,964 of 1,036,780 bytes there; and the first test below, which needs
-nothing but a slow link.
+"""A configuration that takes long to read must still become active.
+
+Failure: a caller was served on a queue that the newest configuration had removed,
+seconds after that configuration was acknowledged. 6 hosts with fast links had it active
+within 0.3 s; 39 hosts with links of 5 Mbit/s took 22 s or more, with full links, idle
+processors and nothing in their logs.
+
+Cause: the configuration had grown to 4,245 queues, 1,019 KB as sent by the table, which
+takes 1.74 s on such a link. A read had a total limit of the long-poll time (1 s) plus
+that of a short answer (at most 0.7 s), whatever its size. So each read was aborted,
+discarded what it had received and restarted, until the table dropped its history and
+the whole table was read, which was allowed 1.5 s more. In the logs of a run with such a
+configuration each read ended at 1.70 s with 982,964 of 1,036,780 bytes received. The
+first test below reproduces the failure with only a slow link.
 """
 
 import asyncio
@@ -30,17 +28,17 @@
 
 
 def follower(store: PlatformStore) -> ConfigFollower:
-    """Return a follower that has read nothing yet."""
+    """Return a follower that has not read anything yet."""
     return ConfigFollower(
         store=store, table=CONFIG_TABLE, key=CONFIG_KEY, read=read_config
     )
 
 
 async def follow_until_version(held: ConfigFollower, version: int) -> None:
-    """Follow as a host does until a version is in force.
+    """Follow the configuration as a host does until a version is active.
 
     Raises:
-        TimeoutError: It did not come into force.
+        TimeoutError: The version did not become active.
     """
     async with asyncio.timeout(READ_DEADLINE_S):
         while not holds(held, version):
@@ -51,12 +49,12 @@
 
 
 def holds(held: ConfigFollower, version: int) -> bool:
-    """Tell whether a version is in force."""
+    """Return whether a version is active."""
     return held.current is not None and held.current.version == version
 
 
 def test_slow_config_read_completes() -> None:
-    """A link that takes 2 s for it, which a short answer is never given."""
+    """The link takes 2 s for it, longer than the timeout of a short answer."""
 
     async def run() -> None:
         async with slow_link(2.0) as (table, store):
@@ -65,13 +63,13 @@
             table.write(2)
             table.sent = 0
             await follow_until_version(held, 2)
-            assert table.sent < 2 * table.size, "the link was filled again and again"
+            assert table.sent < 2 * table.size, "the configuration was sent repeatedly"
 
     run_async(run())
 
 
 def test_slow_first_config_read_completes() -> None:
-    """The first reading is of the whole table, not of changes: the same limit."""
+    """The first read is a snapshot instead of changes, but had the same time limit."""
 
     async def run() -> None:
         async with slow_link(3.0) as (table, store):
@@ -84,9 +82,9 @@
 
 
 def test_progressing_read_is_never_restarted() -> None:
-    """A limit on the whole, of 20 s, was the same fault at another size.
+    """A total limit of 20 s caused the same failure at a larger size.
 
-    The soak of the configuration found it, on a link of 250 bytes a second.
+    The configuration soak found it, on a link of 250 bytes per second.
     """
 
     async def run() -> None:
@@ -101,10 +99,10 @@
 
 
 def test_superseded_versions_are_not_read() -> None:
-    """In a series a host reads the newest, however many it has missed.
+    """In a series of versions a host reads the newest, however many it has missed.
 
-    Each version goes over the link in full, so that a host which reads one after
-    the other is the further behind the longer the series lasts.
+    Each version is sent in full, so a host that reads one after the other falls
+    further behind the longer the series lasts.
     """
 
     async def run() -> None:
@@ -118,14 +116,14 @@
                 await asyncio.sleep(0.05)
                 table.write(version)
             await reading
-            assert table.sent < 3.5 * table.size, "one in progress, then the newest"
+            assert table.sent < 3.5 * table.size, "superseded versions were read"
 
     run_async(run())
 
 
 @pytest.mark.parametrize("fault", ["break_off_at", "silent_at"])
 def test_partial_config_is_never_applied(fault: str) -> None:
-    """A reading that ends halfway leaves what is held, and is begun again."""
+    """A read that fails halfway keeps the active version, and is retried."""
 
     async def run() -> None:
         async with slow_link(0.4) as (table, store):
@@ -142,7 +140,7 @@
 
 
 def test_read_continues_after_process_pause() -> None:
-    """Its time was over while it stood still, but the bytes are there."""
+    """Its timeout expired while the process was paused, but the bytes have arrived."""
 
     async def run() -> None:
         async with slow_link(1.5) as (table, store):
@@ -155,16 +153,16 @@
                 await asyncio.sleep(0.3)
                 time.sleep(1.5)
             await reading
-            assert table.sent < 1.2 * table.size, "it began anew"
+            assert table.sent < 1.2 * table.size, "the read was restarted"
 
     run_async(run())
 
 
 @pytest.mark.parametrize("way", ["workers", "rows", "one row"])
 def test_other_large_reads_complete(way: str) -> None:
-    """A list of workers, rows at a takeover, one row: they share the way to the table.
+    """The worker list, all rows at a takeover and a single row use the same client.
 
-    Rows at a takeover decide whether a weak host can ever own.
+    Reading all rows at a takeover decides whether a weak host can ever be the owner.
     """
 
     async def run() -> None:
@@ -181,6 +179,6 @@
                     case _:
                         rows = list(await store.read(keys=("op/config",)))
             assert [row.version for row in rows if row is not None] == [2]
-            assert len(table.asked) == 1, "nothing was read again"
+            assert len(table.asked) == 1, "the read was repeated"
 
     run_async(run())
--- a/tests/test_late_config.py
+++ b/tests/test_late_config.py
@@ -1,8 +1,8 @@
-"""A host that knows that it holds an old configuration does not answer by it.
+"""A host that knows its configuration to be out of date must not serve callers with it.
 
-The wrong end is the same as in `test_large_config`, whatever kept the reading from
-coming to its end: a caller is answered by a configuration that is not in force any
-more. What a host hears from others tells it.
+Guards against the failure described in `test_large_config`, for any cause of an
+incomplete read: a caller is served by a configuration that is no longer active. The
+host learns of newer versions from other hosts.
 """
 
 import asyncio
@@ -31,22 +31,22 @@
 
 @attrs.define(kw_only=True, eq=False)
 class StalledFeed:
-    """A way to the table over which changes of the configuration do not come.
+    """A connection to the table that never delivers configuration changes.
 
     Attributes:
         table: The table behind it.
-        calls: How often changes were asked for.
+        calls: How often changes were requested.
     """
 
     table: Any
     calls: int = 0
 
     def __getattr__(self, name: str) -> Any:
-        """Return a call of the table."""
+        """Return a method of the table."""
         return getattr(self.table, name)
 
     async def follow(self, *, after: int, wait_s: float, **_: Any) -> Feed:
-        """Bring no change."""
+        """Return no change."""
         self.calls += 1
         await asyncio.sleep(wait_s)
         return Feed(changes=(), version=after)
@@ -68,13 +68,13 @@
 
 
 def holds(node: Node, version: int) -> bool:
-    """Tell whether a version is in force on a host."""
+    """Return whether a version is active on a node."""
     held = node._config.follower.current
     return held is not None and held.version == version
 
 
 def test_node_that_cannot_read_newest_config_refuses_callers() -> None:
-    """It hears the table and the owner, who has version 3; callers go elsewhere."""
+    """It reaches the table and the owner, which has version 3; callers are refused."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -86,14 +86,16 @@
             await until(lambda: stalled.calls > 0)
             write(made, 3)
             await until(lambda: holds(running[0], 3))
-            assert (await ask(late, "GET", "/q/")).status == 200, "in time still"
+            assert (
+                await ask(late, "GET", "/q/")
+            ).status == 200, "still within the bound"
             await until(lambda: not late.is_ready())
             for method, path in (("GET", "/q/"), ("POST", "/q/0a"), ("GET", "/no/")):
                 body = JOB if method == "POST" else None
                 reply = await ask(late, method, path, body)
                 assert reply.status == 503
                 assert "configuration" in json.loads(reply.body)["reason"]
-            assert "jobs/0a" not in made.table.rows, "what was refused never runs"
+            assert "jobs/0a" not in made.table.rows, "a refused job must not be stored"
             assert (await ask(running[0], "GET", "/q/")).status == 200
             late._config.follower.store = real_table
             await until(lambda: holds(late, 3) and late.is_ready())
@@ -103,7 +105,7 @@
 
 
 def test_node_without_table_keeps_serving() -> None:
-    """Without the table nobody can be held to its newest row; the owner serves."""
+    """It cannot read the newest row; the owner, which can, handles its requests."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -137,7 +139,7 @@
 def test_lateness_counts_from_oldest_unread_version(
     heard: tuple[tuple[int, float], ...], taken: int, late_s: float
 ) -> None:
-    """Since the oldest newer version that is still unread was heard of."""
+    """The delay starts with the first report of the oldest unread newer version."""
     held = ConfigFollower(
         store=MemoryFeedTable(), table="op", key="op/config", read=read
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The list of hosts that an owner tells: once for each version."""
+"""Cluster membership: the owner's peer list, and the choice of hosts from it."""
 
 import pytest
 
@@ -45,7 +45,7 @@
 
 
 def test_empty_peer_list_of_new_owner_replaces_the_old_list() -> None:
-    """An owner that took over may know nobody yet: its empty list is taken as it is."""
+    """A new owner may not know any host yet; its empty list is applied as it is."""
     other = Membership()
     other.apply_peer_list(_reply(_membership_of("a"), other, 0.0), 0.0)
     other.apply_peer_list(_reply(Membership(), other, 0.0), 0.0)
@@ -61,7 +61,7 @@
     [
         ((("far", "there", 9.5), ("near", "here", 9.4)), ("near:1", "far:1")),
         ((("cut", "here", 8.5), ("far", "there", 9.5)), ("far:1",)),
-        # Whoever has just taken over may have heard of nobody of late.
+        # An owner that has just taken over may have no recent heartbeats.
         ((("far", "there", 5.0), ("near", "here", 4.0)), ("near:1", "far:1")),
         ((("gone", "here", 0.0),), ()),
     ],
@@ -77,7 +77,7 @@
 
 
 def test_new_host_is_listed_after_cache_expiry() -> None:
-    """The list is not made anew for each of a hundred hosts that ask."""
+    """The list is cached, not rebuilt for each of a hundred hosts that ask."""
     owner, other = _membership_of("a"), Membership()
     other.apply_peer_list(_reply(owner, other, 0.0), 0.0)
     owner.record_heartbeat(_heartbeat("b", "dc"), 0.05)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Whole nodes on loopback: callers' requests through any of them, and readiness."""
+"""Complete nodes on loopback: callers' requests, readiness and owner changes."""
 
 import asyncio
 import contextlib
@@ -25,9 +25,9 @@
 from tests.fakes import run_async
 
 PARTITION_TIMEOUT_S = 0.1
-"""After how long a call over a path that is cut is given up."""
+"""Time until a call over a partitioned link fails."""
 LONG_LEASE_S = 60.0
-"""Longer than any test waits: what comes sooner does not come from the lease."""
+"""Longer than any test waits, so an earlier takeover is not due to lease expiry."""
 JOB = {
     "spec": "program",
     "steps": [{"count": 2, "cpu": 500, "mem_mb": 64, "estimate_ms": 50}],
@@ -36,18 +36,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PartitionableTable:
-    """One node's way to the shared table, which may be cut.
+    """One node's connection to the shared table, which can be partitioned.
 
     Attributes:
         table: The shared table.
-        cut: Nothing comes through.
+        cut: Whether all calls fail.
     """
 
     table: MemoryFeedTable
     cut: bool = False
 
     def __getattr__(self, name: str) -> Any:
-        """Return a call of the table that first looks whether it is cut."""
+        """Return a method of the table that fails while the connection is cut."""
         call = getattr(self.table, name)
 
         async def forward(*args: Any, **given: Any) -> Any:
@@ -61,13 +61,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeAdapter:
-    """A platform in memory, shared by the nodes of one test.
+    """An in-memory platform shared by the nodes of one test.
 
     Attributes:
-        settings: The node's own.
-        cell: Table and workers.
+        settings: The node's settings.
+        cell: The shared table and workers.
         permits: The permit service.
-        path: This node's own way to the shared table, if it has one.
+        path: This node's own connection to the shared table, if it has one.
     """
 
     settings: NodeSettings
@@ -86,26 +86,26 @@
         return self.cell.fleet
 
     def reload_settings(self) -> tuple[str, ...]:
-        """Nothing changes."""
+        """Report no changes."""
         return ()
 
     @property
     def machines(self) -> None:
-        """There is no interface to machines."""
+        """The machine API, which this platform lacks."""
         return None
 
     def wave_status(self, number: int, state: str) -> Put:
-        """Return a write that no test looks at."""
+        """Return a write that no test checks."""
         return Put(key=f"status/wave/{number}", value=state)
 
     def directory(self) -> WorkerDirectory:
-        """Return a reader of the shared list."""
+        """Return a reader of the shared worker list."""
         return WorkerDirectory(
             store=self.store, table="servers", read=self.cell.read_worker
         )
 
     def config_follower(self) -> ConfigFollower:
-        """Return a follower that has the configuration already."""
+        """Return a follower that already holds the configuration."""
         found = ConfigFollower(
             store=self.store, table="op", key="op/config", read=lambda row: CONFIG
         )
@@ -113,16 +113,16 @@
         return found
 
     def front(self, job_frontend: JobFrontend, is_ready: Callable[[], bool]) -> Any:
-        """Return the platform's own front."""
+        """Return the platform's ASGI app for callers."""
         return Front(job_frontend=job_frontend, is_ready=is_ready)
 
     def readiness(self, is_ready: Callable[[], bool]) -> Any:
-        """Return the platform's own readiness app."""
+        """Return the platform's ASGI app for readiness checks."""
         return Readiness(is_ready=is_ready)
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on."""
+    """Return an unused port."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
@@ -153,7 +153,7 @@
 async def nodes(
     made: Cell, count: int = 2, *, processors: tuple[float, ...] = ()
 ) -> AsyncIterator[list[Node]]:
-    """Run nodes, each in a data centre of its own; the first one owns."""
+    """Run nodes, each in its own data centre; the first one becomes the owner."""
     running: list[Node] = []
     for number in range(count):
         cores = processors[number] if processors else 1.0
@@ -190,7 +190,7 @@
 
 @pytest.mark.parametrize("at", [0, 1])
 def test_every_node_serves_callers(at: int) -> None:
-    """A job is handed in, asked for and finished through owner and other alike."""
+    """The owner and other nodes accept a job, report its state and its completion."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -225,7 +225,7 @@
     ],
 )
 def test_invalid_jobs_are_rejected_with_reason(body: object) -> None:
-    """A job that cannot be read, or can never be, is told so and not stored."""
+    """A malformed or impossible job is rejected with a reason and not stored."""
 
     async def run() -> None:
         async with cell() as made, nodes(made, count=1) as running:
@@ -238,7 +238,7 @@
 
 
 def test_table_outage_leaves_all_nodes_ready() -> None:
-    """No host serves better than another then: callers are refused at once."""
+    """No host can serve better than another, so callers are refused immediately."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -255,7 +255,7 @@
 
 
 def test_isolated_owner_is_not_ready() -> None:
-    """It reaches neither table nor peers: its callers are better served elsewhere."""
+    """It reaches neither table nor peers, so another host serves its callers better."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -268,7 +268,7 @@
 
 
 def test_drained_owner_is_replaced_immediately() -> None:
-    """A drained owner releases and tells its peers, which take over."""
+    """A drained owner releases its lease and notifies its peers, which take over."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -283,7 +283,7 @@
 
 
 async def _kill(node: Node) -> None:
-    """End a node as a kill does: nothing is released, nobody listens."""
+    """Stop a node as a kill does: no lease is released and its ports are closed."""
     for server in node._servers:
         await server.kill()
     for task in list(node._background.tasks):
@@ -293,7 +293,7 @@
 def test_killed_owner_is_replaced_before_lease_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nobody listens at its address: its peers need not wait for the lease."""
+    """Connections to its address are refused, so its peers need not await the lease."""
     monkeypatch.setattr(options, "OWNER_LEASE_S", LONG_LEASE_S)
 
     async def run() -> None:
@@ -312,7 +312,7 @@
 def test_owner_that_alone_lost_the_table_is_replaced_before_lease_expiry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """By its own word it cannot store; a host that can need not wait for the lease."""
+    """It reports that it cannot store, so a host that can need not await the lease."""
     monkeypatch.setattr(options, "OWNER_LEASE_S", LONG_LEASE_S)
 
     async def run() -> None:
@@ -328,7 +328,7 @@
 def test_table_outage_for_all_nodes_keeps_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """When it is back it answers some host first: that is no reason to take over."""
+    """That it answers one host first after the outage is no reason for a takeover."""
     monkeypatch.setattr(options, "OWNER_LEASE_S", LONG_LEASE_S)
 
     async def run() -> None:
@@ -356,7 +356,7 @@
 def test_restarted_node_does_not_wait_for_its_own_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After all were killed, the lease's last holder comes back at the same address."""
+    """After all nodes were killed, the last holder restarts at the same address."""
     monkeypatch.setattr(options, "OWNER_LEASE_S", LONG_LEASE_S)
 
     async def run() -> None:
@@ -374,7 +374,7 @@
 
 
 def test_unready_node_closes_caller_connections() -> None:
-    """An open channel stays with its host; the next try must go elsewhere."""
+    """An open connection stays on its host, but the next attempt must use another."""
 
     async def run() -> None:
         async with cell() as made, nodes(made, count=1) as running:
@@ -388,7 +388,7 @@
 
 
 def test_node_beside_isolated_owner_is_not_ready() -> None:
-    """An owner without authority is no reason to keep callers in a cut place."""
+    """An owner without table access is no reason to keep callers in a partition."""
 
     async def run() -> None:
         async with cell() as made, nodes(made) as running:
@@ -404,7 +404,7 @@
 
 
 def test_draining_node_follows_ownership_change() -> None:
-    """It still answers the callers that have channels to it, for seconds."""
+    """It keeps serving callers with open connections for seconds."""
 
     async def run() -> None:
         async with cell() as made, nodes(made, count=3) as running:
@@ -431,5 +431,5 @@
 def test_drain_fits_into_platform_grace_period(
     grace_s: float, spent_s: float, expected: float
 ) -> None:
-    """A process that waits longer is killed with answers in flight."""
+    """A process that waits longer is killed with requests in flight."""
     assert balancer_wait_s(grace_s, spent_s) == pytest.approx(expected)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay that tests cut links with."""
+"""The relay that tests use to simulate partitions."""
 
 import socket
 
@@ -6,7 +6,7 @@
 
 
 def test_relay_survives_unreachable_target() -> None:
-    """Its thread ended with the first connection that found nobody listening."""
+    """Guards against the accept thread ending when a connection to the target fails."""
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         target = free.getsockname()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A host that is starting: its callers' connections wait instead of being refused."""
+"""Callers' connections to a starting host must wait instead of being refused."""
 
 import asyncio
 import socket
@@ -21,7 +21,7 @@
 
 @pytest.fixture(name="port")
 def early_port() -> Iterator[int]:
-    """Return a port that was opened early; close what nobody took."""
+    """Yield a port that was opened early; close its socket if the test left it."""
     port = free_port()
     assert early_listen.listen_early("127.0.0.1", port)
     yield port
@@ -37,7 +37,7 @@
 
 
 def test_early_connection_is_served_after_server_start(port: int) -> None:
-    """The connection and its request wait in the socket's queue."""
+    """The connection and its request wait in the listen queue."""
 
     async def run() -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -55,7 +55,7 @@
 
 
 def test_early_socket_is_taken_once(port: int) -> None:
-    """Two servers never share one."""
+    """Two servers never share a socket."""
     taken = early_listen.take_socket("127.0.0.1", port)
     assert taken is not None
     taken.close()
@@ -63,7 +63,7 @@
 
 
 def test_address_in_use_is_reported_by_server() -> None:
-    """It says why it cannot listen; an early fault would hide that."""
+    """The server reports why it cannot listen; an early failure would hide it."""
     with socket.socket() as held:
         held.bind(("127.0.0.1", 0))
         held.listen()
@@ -93,7 +93,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is wrong with the file is reported by the reader of all settings."""
+    """Faults in the file give no address; the full settings reader reports them."""
     path = tmp_path / "settings.toml"
     path.write_bytes(text.encode(errors="surrogateescape"))
     monkeypatch.setenv(FILE_VARIABLE, str(path))
@@ -103,13 +103,13 @@
 def test_missing_settings_file_gives_no_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The variable may be missing where no node is meant."""
+    """The variable may be unset for processes other than nodes."""
     monkeypatch.delenv(FILE_VARIABLE, raising=False)
     assert callers_address() is None
 
 
 def test_early_listen_needs_no_libraries() -> None:
-    """What loads first decides how long callers are refused at a start."""
+    """Imports before the socket opens extend the time in which callers are refused."""
     code = (
         "import sys; import cranberrycleat.start, cranberrycleat.platform.early; "
         "print([n for n in ('attrs', 'click', 'msgspec', 'aiohttp', 'asyncio') "
--- a/tests/test_state_queries.py
+++ b/tests/test_state_queries.py
@@ -1,8 +1,8 @@
-"""What a caller is told who asks just when a job has ended.
+"""State queries that arrive while the end of a job is being stored.
 
-The load that it answers: callers ask when they expect a job's last task to have ended,
-and again 0.25 s later. Nearly all of the first questions came in the 0.02 s between the
-end and its being stored, and short jobs were seen as completed 0.25 s late.
+Guards against short jobs being reported as completed 0.25 s late. Callers query when
+they expect a job's last task to have ended, and again 0.25 s later; nearly all first
+queries arrived in the 0.02 s between a job's end and its being stored.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 @attrs.define(kw_only=True)
 class PausableTable(MemoryFeedTable):
-    """A table whose transactions wait while it is told to hold them."""
+    """A table whose transactions can be paused."""
 
     free: asyncio.Event = attrs.field(factory=asyncio.Event)
 
@@ -29,7 +29,7 @@
         self.free.set()
 
     async def commit(self, txn: Transaction) -> CommitReply:
-        """Apply a transaction once the table is free."""
+        """Apply a transaction once the table is not paused."""
         await self.free.wait()
         return await MemoryFeedTable.commit(self, txn)
 
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("answers", [True, False], ids=["slow", "does not answer"])
 def test_state_query_wait_is_bounded(answers: bool) -> None:
-    """An end that is not stored is never told; the wait for it is bounded."""
+    """An end that is not stored is never reported, and the wait for it is bounded."""
 
     async def run() -> None:
         async with cell(workers=1, table=PausableTable()) as made:
