--- a/cranberrycleat/acceptance.py
+++ b/cranberrycleat/acceptance.py
@@ -1,9 +1,10 @@
-"""Accepting operators' changes: into the table first, then said to be accepted.
+"""Accepts operators' changes: written to the table before they are acknowledged.
 
-A change for a shard becomes an inbox row, which the shard's owner takes and
-deletes in the same transaction that carries out the change. Any scheduler may
-accept, owner or not. Each write carries an id, so that a lost reply is settled
-by reading back; a change whose fate stays open is reported as unknown.
+A change for a shard becomes an inbox row. The shard's owner deletes it in the same
+transaction that applies the change. Any scheduler may accept changes, whether it is
+the owner or not. A submission carries an id, so that after a lost reply reading the
+row back shows whether it was committed; an undetermined outcome is reported as
+unknown.
 """
 
 import secrets
@@ -32,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class DataCentreCapacity:
-    """How much room a data centre has for tasks of one job.
+    """A data centre's capacity for tasks of one job.
 
     Attributes:
         data_centre: The data centre.
@@ -46,7 +47,7 @@
 def matching_data_centres(
     spec: JobSpec, hosts: Iterable[HostEntry]
 ) -> tuple[DataCentreCapacity, ...]:
-    """Return the data centres whose listed hosts match, largest room first."""
+    """Return the data centres with matching hosts, largest capacity first."""
     selector = selectors.parse(spec.selector, place=f"{spec.name}.selector")
     room: dict[str, int] = {}
     for host in hosts:
@@ -76,15 +77,16 @@
 def assign_data_centres(
     spec: JobSpec, found: tuple[DataCentreCapacity, ...], default: str
 ) -> dict[str, tuple[int, ...]]:
-    """Give each task a home: gangs one for all, others by room.
+    """Assign each task to a data centre: a gang to one, other jobs by capacity.
 
     Args:
         spec: The job.
-        found: The data centres that could hold tasks.
-        default: The home where none could; it will say why nothing fits.
+        found: The data centres with matching hosts.
+        default: The data centre to use if none could hold a task; its scheduler
+            then reports why nothing fits.
 
     Returns:
-        For each home, the numbers of the tasks that live there.
+        For each data centre, the indices of the tasks assigned to it.
     """
     able = [candidate for candidate in found if candidate.room > 0]
     if not able:
@@ -103,8 +105,8 @@
     """Accepts operators' changes on behalf of one scheduler.
 
     Attributes:
-        platform: The table and the list of hosts.
-        data_centre: The home for jobs that match no listed host.
+        platform: The table and the host list.
+        data_centre: The data centre for jobs that fit no listed host.
     """
 
     platform: Platform
@@ -177,7 +179,7 @@
         return await self._write_for_worker(change.worker, entry)
 
     async def declare_dead(self, worker: str) -> Accepted:
-        """Accept an operator's word that a worker is gone and runs nothing.
+        """Accept an operator's declaration that a worker is dead and runs nothing.
 
         Raises:
             ProblemError: No such worker (404).
@@ -197,7 +199,7 @@
         return Accepted(id=entry.id, data_centres=(target,))
 
     async def _write(self, txn: Transaction) -> None:
-        """Write changes that may be carried out twice without harm."""
+        """Write idempotent changes, retrying if the table does not reply."""
         for _ in range(COMMIT_ATTEMPTS):
             try:
                 await self.platform.commit(txn)
@@ -219,17 +221,17 @@
 
 @attrs.frozen(kw_only=True)
 class VerifiedCommit:
-    """A commit whose lost reply is settled by a row that names the change."""
+    """A commit that, after a lost reply, is verified by a row naming the change."""
 
     table: Table
     key: str
     change: str
 
     async def commit(self, txn: Transaction) -> bool:
-        """Commit, and tell whether this very change took effect.
+        """Commit, and return whether this very change was committed.
 
         Raises:
-            ProblemError: It is unknown whether it did (504).
+            ProblemError: It is unknown whether it was (504).
         """
         for _ in range(COMMIT_ATTEMPTS):
             try:
--- a/cranberrycleat/admission.py
+++ b/cranberrycleat/admission.py
@@ -1,10 +1,10 @@
-"""Admission: which requests wait for a slot, and which are refused at once.
+"""Admission control: which requests queue for a slot, and which are refused.
 
-Each service has a gate. A request gets a slot, or waits in a bounded queue of
-its class for no longer than its deadline, or is refused at once, with when to
-come back. What a queue's length says about the wait is believed: a request
-that could not be served in time is not let in. The highest class goes first;
-when the queue is full, the newest of the lowest class makes room.
+Each service has an admission controller. A request gets a slot, waits in a bounded
+queue of its class until its deadline at most, or is refused immediately with a
+Retry-After. The expected wait is estimated from the queue length: a request that
+could not be served in time is not queued. The most urgent class is served first;
+when the queue is full, the newest request of the least urgent class is refused.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class RequestClass(enum.IntEnum):
-    """How urgent a request is; the lower number goes first."""
+    """Priority class of a request; lower numbers are served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -37,7 +37,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Waiter:
-    """One request that waits for a slot."""
+    """One request waiting for a slot."""
 
     rank: RequestClass
     tried: frozenset[str]
@@ -46,11 +46,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class AdmissionController:
-    """The way in to one service.
+    """Controls admission to one service.
 
     Attributes:
-        pick: Picks an endpoint with room, or none.
-        most: How many requests may wait.
+        pick: Returns an endpoint with a free slot, or None.
+        max_waiters: Maximum number of queued requests.
+        clock: The time source.
     """
 
     pick: PickEndpoint
@@ -63,7 +64,7 @@
     )
 
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return sum(len(queue) for queue in self._queues.values())
 
     async def acquire_slot(
@@ -74,16 +75,16 @@
         tried: frozenset[str],
         wait_s: float,
     ) -> EndpointState:
-        """Get a slot; the caller gives it back with `leave`.
+        """Acquire a slot; the caller returns it with `release_slot`.
 
         Args:
             service: The service's endpoints.
             rank: The request's class.
-            tried: URLs that it was sent to before.
-            wait_s: How long it may wait, in seconds.
+            tried: URLs that the request was already sent to.
+            wait_s: Maximum time in the queue, in seconds.
 
         Raises:
-            ProblemError: Refused, not run, with when to come back.
+            ProblemError: The request was refused and not run; carries a Retry-After.
         """
         if not self._count_ahead(rank):
             state = self.pick(tried)
@@ -96,13 +97,13 @@
         return await self._wait(rank, tried, wait_s, expected)
 
     def release_slot(self, state: EndpointState) -> None:
-        """Give a slot back and let the next request have it."""
+        """Return a slot and pass it to the next queued request."""
         state.share.in_flight -= 1
         self._update_release_interval()
         self.admit_waiting()
 
     def _update_release_interval(self) -> None:
-        """Learn how fast slots come free while requests wait for them."""
+        """Update the mean interval between slot releases while requests are queued."""
         now = self.clock.now()
         if not self.waiting():
             self._last_release_at = math.inf
@@ -115,7 +116,7 @@
         self._last_release_at = now
 
     def admit_waiting(self) -> None:
-        """Give free slots to those that wait, the highest class first."""
+        """Assign free slots to queued requests, the most urgent class first."""
         for queue in self._queues.values():
             while queue:
                 waiter = queue[0]
@@ -130,16 +131,16 @@
                 waiter.slot.set_result(state)
 
     def _count_ahead(self, rank: RequestClass) -> int:
-        """Count those who wait and go before a new request of this class."""
+        """Count the queued requests that go before a new request of this class."""
         return sum(len(q) for each, q in self._queues.items() if each <= rank)
 
     def _expected_wait_s(self, service: ServiceEndpoints, rank: RequestClass) -> float:
-        """Say how long it would wait, by the pace seen and by the slots there are."""
+        """Estimate the wait from the slots available and the observed release rate."""
         by_slots = service.took_s / max(1, service.capacity())
         return (self._count_ahead(rank) + 1) * max(by_slots, self._release_interval_s)
 
     def _ensure_queue_space(self, rank: RequestClass) -> bool:
-        """Let one more wait, if need be by refusing one of a lower class."""
+        """Make space for one more request, if needed by refusing a less urgent one."""
         if self.waiting() < self.max_waiters:
             return True
         for lower in reversed(RequestClass):
@@ -171,7 +172,7 @@
             self._return_if_cancelled(waiter)
 
     def _return_if_cancelled(self, waiter: Waiter) -> None:
-        """A request that was cancelled as it got its slot gives it back."""
+        """Return the slot of a request that was cancelled as it was assigned one."""
         task = asyncio.current_task()
         cancelled = task is not None and task.cancelling()
         if not cancelled:
--- a/cranberrycleat/claims.py
+++ b/cranberrycleat/claims.py
@@ -1,14 +1,14 @@
-"""Claims: a request with an idempotency key is sent by one gateway, once.
+"""Claims: at most one gateway sends a request with an idempotency key, once.
 
-Invariant: a request that carries a key leaves for an endpoint only after the
-table holds a claim row for the key that names this very request. The row is
-made under the condition that there is none, or none but one whose holder wrote
-that nothing was run; so of any number of gateways, in any data centre, before
-or after a membership change or a death, at most one sends it.
+Invariant: a request with a key is sent to an endpoint only after the table holds a
+claim row for the key that names this very request. The row is written on condition
+that no row exists, or only one whose holder recorded that nothing was run. Of any
+number of gateways, in any data centre, before or after a membership change or a
+crash, at most one therefore sends the request.
 
-Without the table no claim can be made, and the answer is 'not run' at once. A
-claim whose fate is open is never sent; its key may stay taken, which errs on
-the side of not running.
+Without the table no claim can be made, and the response is 'not run' immediately. A
+request whose claim has an unknown outcome is never sent; its key may stay taken, so
+the failure mode is a request that is not run.
 """
 
 import base64
@@ -29,10 +29,10 @@
 )
 
 MAX_STORED_BODY_BYTES: Final = 16 * 1024
-"""Answers up to this size are kept for a repeat of the request."""
+"""Responses up to this size are stored for repeats of the request."""
 CLAIM_RETRY_AFTER_S: Final = 2.0
 CLAIM_TIMEOUT_S: Final = 1.0
-"""The longest that a claim is waited for, in seconds."""
+"""Maximum time to wait for a claim."""
 SENT: Final = "sent"
 ANSWERED: Final = "answered"
 NOT_RUN: Final = "not-run"
@@ -40,12 +40,12 @@
 
 @attrs.frozen(kw_only=True)
 class StoredAnswer:
-    """An answer as kept in a claim row.
+    """A response as stored in a claim row.
 
     Attributes:
         status: The HTTP status.
-        content_type: The answer's type.
-        body: The body in base 64, or None where it was too large to keep.
+        content_type: The response's content type.
+        body: The body in base64, or None if it was too large to store.
     """
 
     status: int
@@ -58,10 +58,10 @@
     """The value of a claim's row.
 
     Attributes:
-        claim: Names the request that holds the claim.
-        fingerprint: Method, service, path and body of the request, hashed.
+        claim: Random id of the request that holds the claim.
+        fingerprint: Hash of the request's method, service, path and body.
         state: `sent`, `answered` or `not-run`.
-        answer: The answer, once there is one.
+        answer: The response, once there is one.
     """
 
     claim: str
@@ -87,19 +87,19 @@
 
 @attrs.frozen(kw_only=True)
 class Replay:
-    """The request was answered before; this is the answer."""
+    """The request was answered before; `answer` is the stored response."""
 
     answer: StoredAnswer
 
 
 def claim_key(idempotency_key: str) -> str:
-    """Return the key of a claim's row; hashed, to bound its length."""
+    """Return the key of a claim's row, hashed to bound its length."""
     digest = hashlib.blake2b(idempotency_key.encode(), digest_size=20).hexdigest()
     return f"claim/{digest}"
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return what tells one request from another under the same key."""
+    """Return a hash that distinguishes requests under the same idempotency key."""
     digest = hashlib.blake2b(digest_size=16)
     digest.update(f"{method} {path}\n".encode())
     digest.update(body)
@@ -108,7 +108,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ClaimStore:
-    """Makes and settles claims through the grouped writer."""
+    """Acquires claims and records their outcomes through the batching writer."""
 
     writer: BatchingWriter
 
@@ -120,8 +120,8 @@
             mark: The request's fingerprint.
 
         Raises:
-            ProblemError: The key is taken by a request whose outcome is open
-                (409) or by a different request (422), or no safe claim can be
+            ProblemError: The key is taken by a request whose outcome is unknown
+                (409) or by a different request (422), or no safe claim could be
                 made (503, not run).
         """
         row = ClaimRow(claim=secrets.token_hex(8), fingerprint=mark, state=SENT)
@@ -131,7 +131,7 @@
         return await self._resolve_existing(found, row)
 
     async def _resolve_existing(self, found: Row, row: ClaimRow) -> Claim | Replay:
-        """The key has a row: replay it, take it over if not run, or refuse."""
+        """Handle an existing row: replay it, take it over if not run, or refuse."""
         held = codec.decode(found.value, ClaimRow, place=found.key)
         if held.fingerprint != row.fingerprint:
             raise errors.ProblemError(status=422, code=errors.KEY_REUSED)
@@ -159,11 +159,11 @@
                 raise claim_unavailable()
 
     async def record_outcome(self, claim: Claim, answer: StoredAnswer | None) -> None:
-        """Record how a claimed request ended; best effort.
+        """Record the outcome of a claimed request; best effort.
 
         Args:
             claim: The claim.
-            answer: The answer, or None where the request was proved not run.
+            answer: The response, or None if the request is proved not to have run.
         """
         state = NOT_RUN if answer is None else ANSWERED
         row = attrs.evolve(claim.row, state=state, answer=answer)
@@ -175,7 +175,7 @@
 
 
 def stored_answer(status: int, content_type: str, body: bytes) -> StoredAnswer:
-    """Return an answer in the form that a claim row keeps."""
+    """Return a response in the form in which a claim row stores it."""
     text = (
         base64.b64encode(body).decode() if len(body) <= MAX_STORED_BODY_BYTES else None
     )
@@ -183,7 +183,7 @@
 
 
 def claim_unavailable() -> errors.ProblemError:
-    """Return the refusal where no safe claim can be made: nothing was run."""
+    """Return the error for when no safe claim could be made: nothing was run."""
     return errors.ProblemError(
         status=503,
         code=errors.NOT_RUN,
--- a/cranberrycleat/endpoints.py
+++ b/cranberrycleat/endpoints.py
@@ -1,9 +1,9 @@
-"""The endpoints as one gateway knows them: where, how loaded, how well.
+"""The endpoints known to one gateway, with their load and health.
 
-Sets come from the schedulers, one a data centre, ordered by epoch and revision;
-an older one never replaces a newer one, and the last known one is used for as
-long as nothing newer comes. A URL names one attempt of one task, so a sign that
-it is leaving, from whichever source, is never taken back.
+Schedulers publish one endpoint set per data centre, ordered by epoch and revision.
+An older set never replaces a newer one, and the last known set is used until a
+newer one arrives. A URL identifies one attempt of one task, so once any source has
+reported it as leaving, it stays marked as leaving.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class EndpointResult(enum.Enum):
-    """How a request at an endpoint went, for its health."""
+    """Result of a request to an endpoint, as input to its health tracking."""
 
     GOOD = "good"
     BAD = "bad"
@@ -30,16 +30,16 @@
 
 @attrs.define(kw_only=True, eq=False)
 class EndpointState:
-    """One endpoint as this gateway knows it.
+    """One endpoint's state at this gateway.
 
     Attributes:
-        endpoint: What its scheduler says of it.
-        share: What this gateway may have in flight there.
-        leaving: Whether any source said that it is leaving.
-        failures: Failures in a row.
-        ejected_until: Left out until this clock time.
-        ejections: Ejections in a row.
-        took_s: The smoothed time that a request takes there, in seconds.
+        endpoint: The endpoint as published by its scheduler.
+        share: How many requests this gateway may have in flight there.
+        leaving: Whether any source reported it as leaving.
+        failures: Consecutive failures.
+        ejected_until: Clock time until which it is ejected.
+        ejections: Consecutive ejections.
+        took_s: Smoothed request latency, in seconds.
     """
 
     endpoint: Endpoint
@@ -51,15 +51,15 @@
     took_s: float = INITIAL_LATENCY_S
 
     def record_latency(self, seconds: float) -> None:
-        """Take in how long a request took, or how long it was waited for."""
+        """Update the latency with a request's duration, or the time waited for it."""
         self.took_s += LATENCY_SMOOTHING * (seconds - self.took_s)
 
     def expected_latency_s(self) -> float:
-        """Return about how long one more request would take."""
+        """Estimate the latency of one more request."""
         return self.took_s * (1 + self.share.in_flight / self.share.share)
 
     def usable(self, now: float) -> bool:
-        """Tell whether it may get new work now."""
+        """Return whether it may get a new request now."""
         return not self.leaving and now >= self.ejected_until and self.share.has_room()
 
 
@@ -68,9 +68,9 @@
     """The endpoints of one service.
 
     Attributes:
-        near: Those in this gateway's data centre.
-        far: The others.
-        took_s: The smoothed time that a request takes, in seconds.
+        local: Those in this gateway's data centre.
+        remote: Those in other data centres.
+        took_s: Smoothed request latency, in seconds.
     """
 
     local: list[EndpointState] = attrs.field(factory=list)
@@ -78,7 +78,7 @@
     took_s: float = INITIAL_LATENCY_S
 
     def all(self) -> list[EndpointState]:
-        """Return every endpoint."""
+        """Return the local and the remote endpoints."""
         return self.local + self.remote
 
     def capacity(self) -> int:
@@ -86,19 +86,21 @@
         return sum(int(e.share.allowed) for e in self.all() if not e.leaving)
 
     def record_latency(self, seconds: float) -> None:
-        """Take in how long a request took."""
+        """Update the latency with a request's duration."""
         self.took_s += LATENCY_SMOOTHING * (seconds - self.took_s)
 
 
 @attrs.define(kw_only=True, eq=False)
 class EndpointCatalog:
-    """Every endpoint that a gateway knows.
+    """Every endpoint known to a gateway.
 
     Attributes:
-        me: This gateway's name.
+        gateway_name: This gateway's name.
         data_centre: Its data centre.
-        members: The names of the live gateways of its data centre.
-        total: How many gateways live in all data centres.
+        members: The names of the live gateways in its data centre.
+        total_gateways: Number of live gateways in all data centres.
+        services: The endpoints of each service, by the service's name.
+        leaving: URLs of the listed endpoints that are leaving.
     """
 
     gateway_name: str
@@ -114,7 +116,7 @@
         self.members = self.members or (self.gateway_name,)
 
     def seen(self) -> tuple[EndpointSetVersion, ...]:
-        """Return which sets this gateway has."""
+        """Return the epoch and revision of each endpoint set held."""
         return tuple(
             EndpointSetVersion(
                 data_centre=each.data_centre, epoch=each.epoch, revision=each.revision
@@ -123,11 +125,11 @@
         )
 
     def sets(self) -> tuple[EndpointSet, ...]:
-        """Return the newest set of each data centre, to hand to peers."""
+        """Return the newest set of each data centre, to pass to peers."""
         return tuple(self._sets.values())
 
     def merge_set(self, offered: EndpointSet) -> bool:
-        """Take in a set; return whether it was newer than what was known."""
+        """Store a set if it is newer than the one known; return whether it was."""
         known = self._sets.get(offered.data_centre)
         if known is not None:
             if (offered.epoch, offered.revision) <= (known.epoch, known.revision):
@@ -137,14 +139,14 @@
         return True
 
     def update_gateways(self, members: tuple[str, ...], total_gateways: int) -> None:
-        """Take in the list of live gateways."""
+        """Update the list of live gateways and resize the slot shares."""
         if members != self.members or total_gateways != self.total_gateways:
             self.members, self.total_gateways = members, total_gateways
             for state in self._states.values():
                 state.share.resize(self._share(state.endpoint))
 
     def mark_leaving(self, urls: tuple[str, ...]) -> None:
-        """Take in signs that endpoints are leaving, from any source."""
+        """Mark endpoints as leaving, on a report from any source."""
         for url in urls:
             state = self._states.get(url)
             if state is not None and not state.leaving:
@@ -159,7 +161,8 @@
                 gateway_name=self.gateway_name,
                 endpoint=endpoint.url,
             )
-        # Work from afar is the exception: it takes an even part of the whole.
+        # Requests from other data centres are the exception, so the slots are
+        # divided evenly over all gateways.
         return max(1, endpoint.slots // max(1, self.total_gateways))
 
     def _rebuild(self) -> None:
@@ -195,10 +198,10 @@
     now: float,
     cfg: RoutingConfig,
 ) -> None:
-    """Take in how a request went, and leave the endpoint out if it fails.
+    """Record a request's result, and eject the endpoint if it keeps failing.
 
-    At most `cfg.eject_most` of a service's endpoints are left out at once, so
-    that a fault they share does not leave the service with none.
+    At most the share `cfg.eject_most` of a service's endpoints is ejected at once,
+    so that a fault common to all of them does not leave the service with none.
     """
     match result:
         case EndpointResult.GOOD:
@@ -223,5 +226,5 @@
     state.ejections += 1
     length = min(MAX_EJECTION_S, cfg.eject_s * 2 ** min(10, state.ejections - 1))
     state.ejected_until = now + length
-    # One failure after its return is enough to leave it out again.
+    # After its return a single failure is enough to eject it again.
     state.failures = cfg.eject_after - 1
--- a/cranberrycleat/forward.py
+++ b/cranberrycleat/forward.py
@@ -1,13 +1,13 @@
-"""One attempt to have an endpoint answer a request, with a typed outcome.
+"""Sends one attempt of a request to an endpoint, with a typed outcome.
 
-Three outcomes, never guessed: `Answered` (the whole answer), `NotRun` (proved:
-the connection was never made, or the endpoint refused before it started) and
-`Unknown` (anything else). An answer is read whole before any of it is passed
-on, so a truncated one is never passed on; it belongs to the connection that
-its request went out on, and a connection in doubt is closed by the transport.
+There are three outcomes: `Answered` (a complete response), `NotRun` (proved: the
+connection was never made, or the endpoint refused before it started) and `Unknown`
+(anything else). A response is read completely before any of it is passed on, so a
+truncated response never is. It belongs to the connection on which its request was
+sent; the transport closes a connection whose state is uncertain.
 
-A request that must not run twice goes out on a connection of its own: on a
-reused one, a close by the endpoint could not be told from a lost answer.
+A request that must not run twice is sent on a connection of its own: on a reused
+connection, a close by the endpoint could not be distinguished from a lost response.
 """
 
 import asyncio
@@ -44,15 +44,15 @@
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """A caller's request, whole.
+    """A complete request from a caller.
 
     Attributes:
         method: The HTTP method.
-        service: The service it is for.
-        target: Path and query below the endpoint's URL.
+        service: The target service.
+        target: Path and query, relative to the endpoint's URL.
         headers: Its headers, without the hop-by-hop ones.
         body: Its body.
-        repeatable: Whether running it twice does no harm.
+        repeatable: Whether it may safely be run more than once.
     """
 
     method: str
@@ -65,7 +65,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answered:
-    """The endpoint's whole answer."""
+    """The endpoint's complete response."""
 
     status: int
     headers: Headers
@@ -78,9 +78,9 @@
     """Proved not to have run.
 
     Attributes:
-        reason: Why, for people.
-        refused: Whether the endpoint itself refused, rather than not answer.
-        leaving: Whether the endpoint said that it is leaving.
+        reason: The explanation given to the caller.
+        refused: Whether the endpoint itself refused, rather than did not answer.
+        leaving: Whether the endpoint reported that it is leaving.
     """
 
     reason: str
@@ -90,7 +90,7 @@
 
 @attrs.frozen(kw_only=True)
 class Unknown:
-    """May have run, or may run yet."""
+    """The request may have run, or may still run."""
 
     reason: str
 
@@ -99,13 +99,13 @@
 
 
 def strip_headers(headers: Headers) -> Headers:
-    """Return the headers that may pass from one connection to another."""
+    """Return the headers without the hop-by-hop ones."""
     return [(name, value) for name, value in headers if name not in HOP_BY_HOP]
 
 
 @attrs.define(kw_only=True, eq=False)
 class Forwarder:
-    """Sends attempts over two sets of connections: reused and single-use."""
+    """Sends attempts over two connection pools: reused and single-use."""
 
     _reused: httpx.AsyncHTTPTransport = attrs.field(
         factory=lambda: httpx.AsyncHTTPTransport(
@@ -132,7 +132,7 @@
         Args:
             req: The request.
             url: The endpoint's URL.
-            timeout_s: The time left, in seconds.
+            timeout_s: The remaining time, in seconds.
         """
         transport = self._reused if req.repeatable else self._single
         try:
@@ -165,7 +165,7 @@
         finally:
             await res.aclose()
         if body is None:
-            return Unknown(reason="the answer is too large to be held whole")
+            return Unknown(reason="the response is too large to buffer")
         return _outcome(res, body)
 
     async def close(self) -> None:
@@ -185,7 +185,7 @@
 
 
 async def _read_body(res: httpx.Response) -> bytes | None:
-    """Read the whole body; None where it is larger than can be held."""
+    """Read the body; return None if it exceeds `MAX_RESPONSE_BYTES`."""
     parts: list[bytes] = []
     size = 0
     assert isinstance(res.stream, httpx.AsyncByteStream)
--- a/cranberrycleat/gateway.py
+++ b/cranberrycleat/gateway.py
@@ -1,9 +1,9 @@
-"""The gateway daemon: takes callers' requests and has endpoints answer them.
+"""The gateway daemon: routes callers' requests to service endpoints.
 
-A request is admitted or refused at once (`admission`), claimed if it carries an
-idempotency key (`claims`), sent (`forward`) and, only where the outcome allows
-it and the budget has room, sent again elsewhere. One task for each connection
-does all that; one for each peer exchanges digests (`peers`).
+A request is claimed if it carries an idempotency key (`claims`), queued or refused
+(`admission`) and sent (`forward`). It is retried on another endpoint only if the
+outcome permits it and the retry budget allows it. One asyncio task per connection
+does all this; one per peer exchanges digests (`peers`).
 """
 
 import asyncio
@@ -66,7 +66,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ServiceState:
-    """What a gateway keeps for one service."""
+    """A gateway's admission controller and retry budget for one service."""
 
     controller: AdmissionController
     budget: RetryBudget
@@ -80,10 +80,10 @@
         cfg: Its options.
         handlers: Builds the route handlers of its HTTP interface (`gateway_api`).
         clock: Its clock.
-        book: The endpoints that it knows.
-        routing: The part of the configuration that it goes by.
+        config: The current configuration.
+        catalog: The known endpoints.
         draining: Whether it is shutting down.
-        in_flight: Callers' requests that it has not answered yet.
+        in_flight: Number of callers' requests not answered yet.
     """
 
     cfg: GatewayOptions
@@ -126,27 +126,27 @@
 
     @property
     def url(self) -> str:
-        """The base URL it answers at."""
+        """The base URL of the HTTP server."""
         return self._server.url
 
     async def start(self) -> None:
-        """Begin to serve and to talk to peers."""
+        """Start the HTTP server and the background tasks."""
         await self._server.start()
         self._background.spawn(self._watch_config())
         for url in self.cfg.peers:
             self._background.spawn(self.peers.gossip_with(url))
 
     def add_peer(self, url: str) -> None:
-        """Talk to one more peer."""
+        """Exchange digests with one more peer."""
         self._background.spawn(self.peers.gossip_with(url))
 
     async def drain(self) -> None:
-        """Not ready: go on answering until the balancer has noticed."""
+        """Report not ready, and keep serving until the load balancer has noticed."""
         self.draining = True
         await asyncio.sleep(self.cfg.drain_s)
 
     async def stop(self) -> None:
-        """Finish requests in flight and end every task."""
+        """Finish requests in flight and cancel the background tasks."""
         await self._server.stop()
         await self._background.cancel()
         await self.forwarder.close()
@@ -157,16 +157,16 @@
     async def answer(
         self, req: CallerRequest, *, key: str | None, rank: RequestClass, wait_s: float
     ) -> Answered:
-        """Have a request answered.
+        """Route a request to an endpoint and return the response.
 
         Args:
             req: The request.
-            key: Its idempotency key, if it carries one.
+            key: Its idempotency key, if any.
             rank: Its class.
-            wait_s: The time the caller allows, in seconds.
+            wait_s: The caller's timeout, in seconds.
 
         Raises:
-            ProblemError: Not run, or outcome unknown; its code says which.
+            ProblemError: Not run, or outcome unknown, according to its code.
         """
         deadline = self.clock.now() + wait_s
         self._require_service(req.service)
@@ -178,7 +178,8 @@
             async with asyncio.timeout(min(wait_s, CLAIM_TIMEOUT_S)):
                 claim = await self.claims.claim(key=key, mark=mark)
         except TimeoutError:
-            # It may yet be made; the key is then taken and nothing was run.
+            # The claim may still be committed; the key is then taken although
+            # nothing was run.
             raise claim_unavailable() from None
         if isinstance(claim, Replay):
             return _replay_response(claim)
@@ -201,7 +202,7 @@
     async def _send_with_retries(
         self, req: CallerRequest, rank: RequestClass, deadline: float
     ) -> Answered:
-        """Send a request until it is answered or must not be sent again."""
+        """Send a request until it is answered or must not be retried."""
         tried: frozenset[str] = frozenset()
         state = self._service_state(req.service)
         last: AttemptOutcome = NotRun(reason="the time allowed has run out")
@@ -237,8 +238,9 @@
     ) -> tuple[AttemptOutcome, str]:
         service = self._require_service(req.service)
         controller = self._service_state(req.service).controller
-        # What could only be sent too late to be answered is refused at once;
-        # half of what is left is kept for answers that take longer than most.
+        # A request that could only be sent too late to be answered is refused
+        # immediately. Half of the remaining time is kept for responses that take
+        # longer than usual.
         wait_s = (left_s - service.took_s) * QUEUE_WAIT_FRACTION
         wait_s = min(wait_s, self.config.routing.queue_s)
         state = await controller.acquire_slot(
@@ -330,7 +332,7 @@
                 if await self.watcher.poll():
                     self._apply_config()
             except errors.TableUnavailable:
-                LOG.debug("no configuration from the table")
+                LOG.debug("Table unavailable; configuration not refreshed.")
             await asyncio.sleep(self.cfg.config_poll_s)
 
     def _apply_config(self) -> None:
@@ -339,10 +341,10 @@
         self.config = codec.decode(text, Configuration, place="configuration")
         for state in self.services.values():
             state.budget.share = self.config.routing.retry_share
-        LOG.info("Configuration version %d is in force.", self.watcher.version)
+        LOG.info("Configuration version %d is now active.", self.watcher.version)
 
     def digest(self) -> Digest:
-        """Return what this process tells its peers now."""
+        """Return this process's digest for its peers."""
         return Digest(
             sender=self.cfg.name,
             incarnation=self.incarnation,
@@ -355,7 +357,7 @@
         )
 
     def apply_reply(self, reply: DigestReply) -> None:
-        """Take in what a peer knows and this process lacked."""
+        """Apply what a peer reported: endpoint sets, leaving URLs, configuration."""
         for offered in reply.sets:
             self.catalog.merge_set(offered)
         self.catalog.mark_leaving(reply.digest.leaving)
@@ -373,7 +375,7 @@
         self.catalog.update_gateways(tuple(sorted(local)), len(names))
 
     def answer_digest(self, asked: Digest) -> DigestReply:
-        """Return what the asker lacks."""
+        """Return the endpoint sets and the configuration that the sender lacks."""
         self.peers.record_digest(asked)
         self.catalog.mark_leaving(asked.leaving)
         newer = self.watcher.version > asked.config_version
--- a/cranberrycleat/gateway_api.py
+++ b/cranberrycleat/gateway_api.py
@@ -1,8 +1,8 @@
-"""The gateway's HTTP interface: callers' requests, digests, dumps.
+"""The gateway's HTTP interface: callers' requests, digests, state dumps.
 
-A caller asks for `/call/SERVICE/PATH`. Headers it may set: `Idempotency-Key`
-(run at most once), `X-Class` (`urgent`, `normal`, `bulk`) and `X-Timeout-Ms`.
-Callers' requests are served as plain ASGI, with nothing in between.
+Callers request `/call/SERVICE/PATH`. Optional headers: `Idempotency-Key` (run at most
+once), `X-Class` (`urgent`, `normal`, `bulk`) and `X-Timeout-Ms`. Callers' requests are
+handled as plain ASGI, bypassing the framework's request handling.
 """
 
 import secrets
@@ -43,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class ParsedRequest:
-    """A caller's request with what it says about itself."""
+    """A caller's request with its key, class and timeout."""
 
     req: CallerRequest
     key: str | None
@@ -75,7 +75,7 @@
 
 
 async def serve_caller(gateway: Gateway, scope: Any, receive: Any, send: Any) -> None:
-    """Serve one caller's request from its first byte to its final answer."""
+    """Serve one caller's request from its first byte to the complete response."""
     if scope["type"] != "http":
         return
     gateway.in_flight += 1
@@ -217,7 +217,7 @@
 
 
 def gateway_dump(gateway: Gateway) -> dict[str, Any]:
-    """Return everything that the gateway holds, for people."""
+    """Return the gateway's state for debugging."""
     return {
         "options": gateway.cfg,
         "draining": gateway.draining,
--- a/cranberrycleat/inventory.py
+++ b/cranberrycleat/inventory.py
@@ -1,15 +1,15 @@
-"""The capacity book: what each worker has, what is on it, what is free.
-
-Invariant: for every worker, the sum of what its tasks are counted with never
-exceeds its capacity by any act of the book's user (`reserve` refuses). A task
-is counted with the larger of what was declared and what was reported, because
-reports lag; a report may therefore push a worker over, which `overfull` tells
-and nothing may be added to until it is mended. A task stays counted until the
-worker's own word, or the end of its lease, proves that it is gone.
-
-Pools keep the workers that match one selector sorted by what is free, so that
-a best-fit search starts at the first worker with room. The part is importable
-on its own and uses no clock and no table.
+"""Worker inventory: capacity, allocations and free resources of each worker.
+
+Invariant: no call by the inventory's user makes the sum of a worker's allocations
+exceed its capacity (`allocate` refuses). A task is allocated the larger of its
+declared and its reported usage, because reports lag. A report may therefore exceed
+a worker's capacity: the worker is then `overcommitted` and accepts no task until
+that is resolved. A task stays allocated until the worker's own report, or the end
+of its lease, proves that it is gone.
+
+Pools keep the workers that match one selector sorted by free resources, so that a
+best-fit search starts at the first worker that may fit. This module can be imported
+on its own and uses neither clock nor table.
 """
 
 import bisect
@@ -24,13 +24,13 @@
 from cranberrycleat.selectors import Selector
 
 QUARANTINE_AFTER: Final = 3
-"""Starts that failed in a row before a worker draws no more work."""
+"""Consecutive failed starts after which a worker is quarantined."""
 QUARANTINE_S: Final = 60.0
 MAX_QUARANTINE_DOUBLINGS: Final = 6
 
 
 class WorkerState(enum.Enum):
-    """Whether a worker may draw new work."""
+    """Whether a worker accepts new tasks."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -39,25 +39,28 @@
 
 
 class CapacityError(Exception):
-    """The amounts asked for are not free on that worker."""
+    """The requested resources are not free on the worker."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class InventoryWorker:
-    """A worker as the book knows it.
+    """A worker in the inventory.
 
     Attributes:
         name: Its name.
-        data_centre: Where it stands.
-        rack: The rack it stands in.
-        labels: What selectors are matched against.
-        capacity: What it has.
-        used: The sum of what its tasks are counted with.
-        tasks: What each task on it is counted with.
-        state: Whether it may draw new work.
-        failures: Failures in a row, each of another job.
-        held_until: When a gang is expected to take the worker; 0 for never.
-        probe_at: When a quarantined worker is tried again.
+        data_centre: Its data centre.
+        rack: Its rack.
+        labels: The labels that selectors are matched against.
+        capacity: Its total resources.
+        used: The sum of its allocations.
+        free: Capacity minus `used`; negative amounts mean overcommitted.
+        tasks: The resources allocated for each task on it.
+        state: Whether it accepts new tasks.
+        failures: Consecutive failures, each of a different job.
+        reserved_until: When a gang is expected to start on it; 0 for no reservation.
+        probe_at: When a quarantined worker is probed with one task.
+        quarantines: Quarantines since its last successful start.
+        last_allocated_round: The round in which a task was last allocated or failed.
     """
 
     name: str
@@ -77,9 +80,9 @@
     round: int = 0
 
     def may_accept_work(self) -> bool:
-        """Tell whether it may draw work in this round.
+        """Return whether it accepts a task in this round.
 
-        After a failure it draws one task a round until something succeeds.
+        After a failure it accepts one task per round until a task succeeds.
         """
         if self.state is not WorkerState.LIVE:
             return False
@@ -90,7 +93,7 @@
 
     @property
     def overcommitted(self) -> bool:
-        """Whether reports showed more in use than there is."""
+        """Whether reported usage exceeds its capacity."""
         return not NOTHING.fits_in(self.free)
 
 
@@ -104,11 +107,11 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Pool:
-    """The workers that match a selector, sorted by what is free.
+    """The workers that match a selector, sorted by free resources.
 
     Attributes:
         selector: The selector.
-        members: Every matching worker, whatever its state.
+        members: Every matching worker, in any state.
         racks: Matching workers by rack.
     """
 
@@ -118,13 +121,13 @@
     _order: list[_SortKey] = attrs.field(factory=list)
 
     def add(self, worker: InventoryWorker) -> None:
-        """Take in a matching worker."""
+        """Add a matching worker."""
         self.members[worker.name] = worker
         self.racks.setdefault(worker.rack, []).append(worker)
         bisect.insort(self._order, _sort_key(worker))
 
     def remove(self, worker: InventoryWorker) -> None:
-        """Leave out a worker."""
+        """Remove a worker."""
         del self.members[worker.name]
         self.racks[worker.rack].remove(worker)
         if not self.racks[worker.rack]:
@@ -132,7 +135,7 @@
         self._remove_key(_sort_key(worker))
 
     def reposition(self, worker: InventoryWorker, old: _SortKey) -> None:
-        """Put a worker in its new place in the order."""
+        """Move a worker to its new position in the sort order."""
         self._remove_key(old)
         bisect.insort(self._order, _sort_key(worker))
 
@@ -142,21 +145,22 @@
     def best_fit(
         self, needs: Amounts, *, ends_by: float = -math.inf
     ) -> InventoryWorker | None:
-        """Return the live worker with the least room that still fits.
+        """Return the live worker with the least free resources that still fits.
 
-        Workers with fewer free accelerators go first, so that those that have
-        some are kept for work that needs them.
+        Workers with fewer free accelerators come first, so that accelerators are
+        kept for tasks that need them.
 
         Args:
-            needs: What must be free.
-            ends_by: When the task would end; held workers must be free by then.
+            needs: The resources that must be free.
+            ends_by: When the task would end; a reserved worker is skipped if its
+                reservation starts before that.
         """
         order = self._order
         index = bisect.bisect_left(order, (needs.accelerators, needs.processors))
         while index < len(order):
             accelerators, processors, memory_mb, name = order[index]
             if processors < needs.processors:
-                # The next group of equal accelerators begins further on.
+                # Skip to the next possible fit with the same or more accelerators.
                 index = bisect.bisect_left(order, (accelerators, needs.processors))
                 continue
             index += 1
@@ -170,19 +174,19 @@
         return None
 
     def most_free_first(self) -> Iterator[InventoryWorker]:
-        """Return the workers, those with the most room first."""
+        """Yield the workers, those with the most free resources first."""
         for key in reversed(self._order):
             yield self.members[key[3]]
 
 
 @attrs.define(kw_only=True, eq=False)
 class WorkerInventory:
-    """Every worker of a shard, with what is on it.
+    """Every worker of a shard, with its allocations.
 
     Attributes:
         workers: The workers, by name.
         round: The number of the current round.
-        changes: Grows when workers come, go or are relabelled.
+        membership_revision: Incremented when workers are added, removed or relabelled.
     """
 
     workers: dict[str, InventoryWorker] = attrs.field(factory=dict)
@@ -193,7 +197,7 @@
     _with_failures: set[str] = attrs.field(factory=set)
 
     def begin_round(self, now: float) -> None:
-        """Begin a round: workers that failed may draw one more task each."""
+        """Begin a round: each worker with failures may accept one more task."""
         self.round += 1
         for name in list(self._with_failures):
             worker = self.workers.get(name)
@@ -207,7 +211,7 @@
                 self._with_failures.discard(name)
 
     def _update_quarantine(self, worker: InventoryWorker, now: float) -> None:
-        """Try a quarantined worker again after a rest that doubles each time."""
+        """Start a quarantine, which doubles each time, or end it with a probe."""
         if worker.probe_at == math.inf:
             worker.probe_at = now + QUARANTINE_S * 2 ** min(
                 worker.quarantines, MAX_QUARANTINE_DOUBLINGS
@@ -219,7 +223,7 @@
             worker.failures = QUARANTINE_AFTER - 1
 
     def overcommitted_workers(self) -> tuple[InventoryWorker, ...]:
-        """Return workers that a report has pushed over their capacity."""
+        """Return the workers whose reported usage exceeds their capacity."""
         names = [name for name in self._overcommitted if name in self.workers]
         self._overcommitted = {
             name for name in names if self.workers[name].overcommitted
@@ -227,7 +231,7 @@
         return tuple(self.workers[name] for name in sorted(self._overcommitted))
 
     def add_worker(self, worker: InventoryWorker) -> None:
-        """Take in a worker that is not in the book yet."""
+        """Add a worker that is not in the inventory yet."""
         self.membership_revision += 1
         self.workers[worker.name] = worker
         for pool in self._pools.values():
@@ -235,7 +239,7 @@
                 pool.add(worker)
 
     def remove_worker(self, name: str) -> None:
-        """Forget a worker that has no tasks left."""
+        """Remove a worker whose tasks have ended or are re-added by the caller."""
         self.membership_revision += 1
         worker = self.workers.pop(name)
         for pool in self._pools.values():
@@ -243,7 +247,7 @@
                 pool.remove(worker)
 
     def relabel(self, name: str, labels: dict[str, str]) -> None:
-        """Give a worker new labels; what it runs stays."""
+        """Set a worker's labels; its tasks stay."""
         self.membership_revision += 1
         worker = self.workers[name]
         for pool in self._pools.values():
@@ -255,7 +259,7 @@
                 pool.add(worker)
 
     def pool(self, selector: Selector) -> Pool:
-        """Return the pool of a selector, made at its first use."""
+        """Return the pool of a selector, built on first use."""
         pool = self._pools.get(selector)
         if pool is None:
             pool = Pool(selector=selector)
@@ -266,10 +270,10 @@
         return pool
 
     def allocate(self, name: str, task: str, needs: Amounts) -> None:
-        """Count a task on a worker.
+        """Allocate resources for a task on a worker.
 
         Raises:
-            CapacityError: The worker has not that much free, or has the task.
+            CapacityError: The worker has too little free, or already has the task.
         """
         worker = self.workers[name]
         if task in worker.tasks or not needs.fits_in(worker.free):
@@ -278,11 +282,11 @@
         self._set_allocation(worker, task, needs)
 
     def adopt(self, name: str, task: str, needs: Amounts) -> None:
-        """Count a task that is found to be on a worker, fitting or not."""
+        """Allocate for a task found running on a worker, whether it fits or not."""
         self._set_allocation(self.workers[name], task, needs)
 
     def report(self, name: str, task: str, declared: Amounts, used: Amounts) -> None:
-        """Take in what a worker says a task uses."""
+        """Update a task's allocation from its reported usage."""
         worker = self.workers[name]
         if task in worker.tasks:
             self._set_allocation(worker, task, declared.elementwise_max(used))
@@ -290,13 +294,13 @@
                 self._overcommitted.add(name)
 
     def set_needs(self, name: str, task: str, needs: Amounts) -> None:
-        """Count a task with other amounts, as when it has been throttled."""
+        """Change a task's allocation, for example after it was throttled."""
         worker = self.workers[name]
         if task in worker.tasks:
             self._set_allocation(worker, task, needs)
 
     def release(self, name: str, task: str) -> None:
-        """Stop counting a task that is proved to be gone; idempotent."""
+        """Release the allocation of a task that is proved to be gone; idempotent."""
         worker = self.workers.get(name)
         if worker is not None and task in worker.tasks:
             self._set_allocation(worker, task, None)
@@ -315,13 +319,13 @@
                 pool.reposition(worker, old_key)
 
     def start_succeeded(self, name: str) -> None:
-        """Note that a worker started what it was given."""
+        """Record that a worker ran a task successfully; resets its failures."""
         worker = self.workers[name]
         worker.failures = 0
         worker.quarantines = 0
 
     def start_failed(self, name: str) -> None:
-        """Note that a worker failed what it was given; enough, and it rests."""
+        """Record a failed task; after `QUARANTINE_AFTER` the worker is quarantined."""
         worker = self.workers[name]
         worker.failures += 1
         worker.round = worker.last_allocated_round = self.round
--- a/cranberrycleat/lease.py
+++ b/cranberrycleat/lease.py
@@ -1,26 +1,27 @@
-"""The ownership lease: one holder at a time, by conditional write, with epochs.
-
-Invariant: at any moment at most one process has `authority()`. The argument:
-
-* The lease is one row: holder, epoch, sequence, length. Every write by the
-  holder is conditional on the row's version and raises the sequence, so each
-  commit renews the lease, fences off every earlier holder and leaves a mark by
-  which a lost reply can be settled.
-* The holder counts the lease from *before* it first sent the write that took
-  effect. A candidate counts it from *after* it saw the row change, on its own
-  clock, and adds a margin for clock drift. The candidate's count therefore
-  always ends after the holder's, without a common time of day.
-* `authority()` looks at the clock each time, so a holder that was paused finds
-  out when it wakes, before it gives its next order.
-
-* `is_dead` shortens the wait by other evidence. The invariant is then as good
-  as that evidence; without it (the default) it rests on the lease alone. What
-  never rests on the lease: a commit is conditional on the row, so that after a
-  takeover nothing of an earlier holder takes effect in the table. A candidate
-  that could not look at the row for a while does not trust such evidence when
-  the row has changed meanwhile: it was cut off itself, and the holder renewed.
-
-The part is importable on its own; it needs a `Clock` and a `Table`.
+"""Ownership lease: single holder, conditional writes, fencing by epoch.
+
+Invariant: at any moment at most one process has a valid lease (`is_valid()`):
+
+* The lease is one row: holder, epoch, sequence, duration. Every write by the
+  holder is conditional on the row's version and increments the sequence. Each
+  commit therefore renews the lease, fences off every earlier holder and makes
+  it possible to find out later whether a write whose reply was lost committed.
+* The holder counts the duration from *before* it first sent the write that
+  committed. A candidate counts it from *after* it observed the row change, on
+  its own clock, plus a margin for clock drift. The candidate's wait therefore
+  always ends after the holder's lease, without synchronized clocks.
+* `is_valid()` reads the clock on every call, so a holder that was paused
+  detects expiry when it resumes, before it issues its next order.
+
+* `is_dead` shortens the wait by external evidence of the holder's death. The
+  invariant is then only as reliable as that evidence; without it (the default)
+  it depends on the lease alone. Independent of both: a commit is conditional on
+  the row, so after a takeover no write of an earlier holder takes effect in the
+  table. A candidate that could not read the row for a while ignores such
+  evidence if the row has changed since: the candidate itself was isolated while
+  the holder went on renewing.
+
+This module can be imported on its own; it needs a `Clock` and a `Table`.
 """
 
 import asyncio
@@ -42,28 +43,28 @@
 )
 
 RELEASE_ATTEMPTS: Final = 3
-"""A release without an answer is sent again: it saves a candidate the wait."""
+"""A release without a reply is resent, since it saves candidates the full wait."""
 ROW_CHECK_AFTER_S: Final = 0.2
-"""A write without an answer for so long may have lost it: the row is looked at.
-Ten times what a calm table takes with its way."""
+"""After this long without a reply to a write the reply may be lost, so the row is
+read. Ten times the round trip of a table under normal load."""
 SLOW_WRITE_S: Final = 0.15
-"""A write that took longer tells of a slow table; a calm one takes 0.01 s."""
+"""Writes above this indicate a slow table; under normal load they take 0.01 s."""
 MAX_COUNTED_WRITE_S: Final = 1.0
-"""Slower writes than this do not make the lease any longer: nobody else can own
-while it runs, and a dead holder must be followed."""
+"""Write times above this do not extend the lease further: nobody else can become
+owner while it lasts, and a dead holder must be replaced."""
 LEASE_EXTENSION_WRITES: Final = 2.0
-"""A candidate sees a change late by its own look (half a write's time) and the
-next write takes a whole one; with one write's time for jitter."""
+"""By how many write times the lease is extended in a slow table. A candidate
+observes a change late by its own read (half a write time), and the next write takes
+a whole write time; the rest is a margin for jitter."""
 ISOLATED_AFTER_S: Final = 1.0
-"""Without a look at the row for so long a candidate was cut off from the table;
-looks come each 0.25 s and take 0.5 s in a slowed table."""
+"""A candidate that has not read the row for this long was isolated from the table;
+reads are made every 0.25 s and take 0.5 s in a slow table."""
 STRENGTH_DECAY: Final = 2 / 3
-"""Of a strength that stands in the row, what a lesser host that takes over leaves of
-it until it has settled. So candidates go on looking out for better hosts after a
-takeover that came to nothing, but not for ever: twice where these are four times as
-strong."""
+"""Factor applied to the strength in the row when a weaker host takes over, until it
+is established as owner. Candidates therefore keep waiting for stronger hosts after a
+takeover that failed, but not indefinitely: twice if those are four times as strong."""
 MAX_CLOCK_DRIFT: Final = 0.01
-"""The largest difference in clock rates that is allowed for, as a share."""
+"""Largest relative difference between two clocks' rates that is allowed for."""
 
 
 @attrs.frozen(kw_only=True)
@@ -72,14 +73,15 @@
 
     Attributes:
         holder: Name and incarnation of the process that holds the lease.
-        epoch: Grows by one at each takeover.
-        sequence: Grows by one at each write by the holder.
-        lease_s: Length in seconds, counted from each write.
-        released: The holder gave it up and has stopped renewing anything.
-        strength: How much the holder's host can carry, by its own word; until it has
-            settled, what is still believed of better ones (see `FADES`).
-        inherited_s: For how long after this write holders before this one may
-            still act on what they granted, in seconds.
+        epoch: Incremented at each takeover.
+        sequence: Incremented at each write by the holder.
+        lease_s: Duration in seconds, counted from each write.
+        released: The holder released the lease and has stopped renewing anything.
+        strength: Capacity of the holder's host as reported by itself; until the
+            holder is established, the decayed strength of earlier, stronger holders
+            (see `STRENGTH_DECAY`).
+        inherited_s: For how long after this write earlier holders may still act on
+            leases that they granted, in seconds.
     """
 
     holder: str
@@ -93,7 +95,7 @@
 
 @attrs.frozen(kw_only=True)
 class Changes:
-    """Row writes to be made together with a renewal."""
+    """Row writes to commit in the same transaction as a renewal."""
 
     checks: tuple[Check, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -101,32 +103,33 @@
 
 
 class LeaseLost(Exception):
-    """Another process holds the lease; nothing of the write took effect."""
+    """Another process holds the lease; no part of the write took effect."""
 
 
 @attrs.define(kw_only=True)
 class OwnershipLease:
-    """One process's view of a lease that it holds or would like to hold.
+    """One process's view of a lease that it holds or is a candidate for.
 
     Attributes:
-        table: Where the lease's row lives.
+        table: The table with the lease's row.
         clock: This process's monotonic clock.
         key: The row's key.
-        holder: This process, unique for each start of it.
-        lease_s: The length this process asks for, in seconds.
-        epoch: The epoch held, or the highest seen.
-        is_dead: Tells whether a holder is known to have ended without a
-            release, so that its lease need not be waited for. See below.
-        strength: Written to the row, for candidates to compare with.
-        defer_s: How long to leave a free lease to other candidates, in
-            seconds, by the row of who held it last.
-        takeover_silent: Whether the lease was won from a holder that did not
-            release it, so that it may still be acting on what it granted.
-        acts_on_s: How long any holder may act beyond its lease on what it granted.
+        holder: This process's identity, unique for each start.
+        lease_s: The duration this process requests, in seconds.
+        epoch: The epoch held, or the highest observed.
+        is_dead: Whether a holder is known to have ended without a release, so
+            that its lease need not be waited for. See the module's documentation.
+        strength: Written to the row for candidates to compare with.
+        defer_s: How long to leave a free lease to other candidates, in seconds,
+            given the row of the last holder.
+        takeover_unreleased: Whether the previous holder did not release the lease,
+            so that it may still be acting on leases that it granted.
+        grants_outlive_lease_s: For how long after its own lease any holder may
+            still act on leases that it granted.
         inherited_s: For how long after the takeover any earlier holder may still
-            act, in seconds. Holders may follow each other faster than the first
-            one's lease runs out, so that the longest wait of the chain counts.
-        carries_bytes_s: Bytes of values a second that reach the table from here.
+            act, in seconds. Takeovers may follow each other faster than the first
+            holder's lease expires, so the longest wait of the chain counts.
+        carries_bytes_s: Throughput to the table, in bytes of values per second.
     """
 
     table: Table
@@ -160,18 +163,18 @@
     _established: bool = False
 
     def is_valid(self) -> bool:
-        """Tell whether this process is the owner at this very moment."""
+        """Return whether this process holds an unexpired lease right now."""
         return self.clock.now() < self.valid_until()
 
     def valid_until(self) -> float:
-        """Return the clock time at which authority ends if nothing renews it."""
+        """Return the clock time at which the lease expires unless renewed."""
         return self._valid_until if self._held is not None else float("-inf")
 
     def unanswered_s(self) -> float:
-        """Return for how long a write has waited while the table said nothing.
+        """Return how long a pending write has had no reply of any kind.
 
-        Zero while nothing waits. Looks at the row count as answers, so that a
-        table that loses answers to writes is not taken for one that is silent.
+        Zero if no write is pending. Successful reads of the row count as replies,
+        so that a table that loses replies to writes does not count as unresponsive.
         """
         if self._pending is None:
             return 0.0
@@ -181,11 +184,11 @@
 
     @property
     def is_holder(self) -> bool:
-        """Whether this process was the last known holder, lapsed or not."""
+        """Whether this process is the last known holder, expired or not."""
         return self._held is not None
 
     def latest_row(self) -> OwnerRow | None:
-        """Return the newest row seen, this process's own or another's."""
+        """Return the newest row observed, written by this process or another."""
         if self._held is not None:
             return self._held
         if self._observed_row is None:
@@ -193,31 +196,31 @@
         return codec.decode(self._observed_row.value, OwnerRow, place=self.key)
 
     def mark_lost(self) -> None:
-        """Give up at once: evidence of a later holder was seen elsewhere."""
+        """Drop the lease immediately, on evidence of a later holder elsewhere."""
         self._held = None
         self._valid_until = float("-inf")
 
     def mark_established(self) -> None:
-        """Note that the holder does what owners do: its strength is the row's now."""
+        """Mark the holder as working owner; its own strength goes to the row now."""
         self._established = True
 
     async def look(self) -> None:
-        """Look at the row only, to know who holds the lease.
+        """Read the row to learn the holder, without trying to acquire the lease.
 
         Raises:
-            TableUnavailable: The table gave no answer.
+            TableUnavailable: The table did not reply.
         """
         rows = await self.table.read(keys=(self.key,))
         self._observe(rows[0] if rows else None)
 
     async def acquire(self) -> bool:
-        """Look at the row once, and take the lease if it is free.
+        """Read the row once, and acquire the lease if it is free.
 
         Returns:
-            Whether this process has authority afterwards.
+            Whether this process holds a valid lease afterwards.
 
         Raises:
-            TableUnavailable: The table gave no answer.
+            TableUnavailable: The table did not reply.
         """
         rows = await self.table.read(keys=(self.key,))
         row = rows[0] if rows else None
@@ -233,25 +236,25 @@
         return self.is_valid()
 
     async def commit(self, changes: Changes = Changes()) -> None:
-        """Write the changes and renew the lease, in one transaction.
+        """Write the changes and renew the lease in one transaction.
 
-        A write without an answer is sent again unchanged: the condition on the
-        row's version lets at most one copy take effect, and the sequence in
-        the row tells whether an earlier copy did.
+        A write without a reply is resent unchanged: the condition on the row's
+        version lets at most one copy commit, and the sequence in the row shows
+        whether an earlier copy did.
 
         Raises:
-            Deposed: Another process holds the lease; nothing was written.
-            TableUnavailable: No answer; the effect counts as possible. The next
-                call settles it first, whatever its own changes.
+            LeaseLost: Another process holds the lease; nothing was written.
+            TableUnavailable: No reply; the write may have committed. The next
+                call resolves it first, whatever changes that call is given.
         """
         if self._pending is not None and self._pending_changes != changes:
-            # An earlier write may have taken effect: were these changes sent
-            # under its sequence, they would be taken for stored with it.
+            # The earlier write may have committed. If these changes were sent under
+            # its sequence number, they would wrongly be considered stored with it.
             await self._write(self._pending_changes)
         await self._write(changes)
 
     async def _write(self, changes: Changes) -> None:
-        """Send a write, or one that had no answer once more, until it is settled."""
+        """Send a write, or resend the pending one, and resolve its outcome."""
         if self._held is None:
             raise LeaseLost(self.key)
         first_copy = self._pending is None
@@ -269,9 +272,9 @@
         began = self.clock.now()
         reply = await self._send_and_watch(txn)
         if reply.committed:
-            # A copy may have waited out an outage, which tells nothing of the
-            # table's pace; a lease three times as long would keep everyone
-            # waiting when its holder is lost next.
+            # A resent copy may have waited for an outage to end, which says
+            # nothing about the table's speed. A lease three times as long would
+            # delay the takeover when its holder is lost next.
             if first_copy:
                 self._last_write_s = self.clock.now() - began
             self._record_renewed(self._pending, reply.version)
@@ -279,17 +282,17 @@
         await self._resolve_conflict()
 
     async def _send_and_watch(self, txn: Transaction) -> CommitReply:
-        """Send a transaction; where no answer comes soon, look at the row too.
+        """Send a transaction; if no reply comes soon, also check the row.
 
-        The row shows whether the write took effect though its answer was lost.
-        A second copy would tell as much, but in a slow table it only waits
-        behind the first one, which is still under way. A table that answers the
-        look at once is not slow: there the write itself was lost, or is late. But
-        a large write may still be on its way there: begun anew each 0.2 s, one that
-        takes the link 0.3 s would never arrive.
+        The row shows whether the write committed although its reply was lost. A
+        second copy would show the same, but in a slow table it only queues behind
+        the first one, which is still in progress. A table that replies to the read
+        quickly is not slow: there the write itself was lost or is late. A large
+        write may still be in transit, however: if it were restarted every 0.2 s, a
+        write that takes 0.3 s on the link would never arrive.
 
         Raises:
-            TableUnavailable: The write is to be sent again.
+            TableUnavailable: The write is to be resent.
         """
         sending = asyncio.ensure_future(self.table.commit(txn))
         try:
@@ -300,7 +303,7 @@
                 try:
                     found = await self._find_pending_in_row()
                 except errors.TableUnavailable:
-                    # The write's own answer, or its time limit, decides.
+                    # The write's own reply or timeout decides.
                     pass
                 else:
                     if found is not None:
@@ -313,7 +316,7 @@
             sending.cancel()
 
     async def _find_pending_in_row(self) -> CommitReply | None:
-        """Return the answer that the row gives, if the write took effect."""
+        """Read the row; return a commit reply if it holds the pending write."""
         rows = await self.table.read(keys=(self.key,))
         self._last_answer_at = self.clock.now()
         row = rows[0] if rows else None
@@ -322,13 +325,13 @@
         return CommitReply(committed=True, version=row.version)
 
     async def release(self) -> None:
-        """Give the lease up, so that a candidate need not wait for it.
+        """Release the lease, so that candidates need not wait for its expiry.
 
-        The caller has stopped renewing everything it granted before this.
+        The caller must have stopped renewing everything it granted.
 
         Raises:
-            Deposed: Another process holds the lease already.
-            TableUnavailable: No answer; the lease will run out by itself.
+            LeaseLost: Another process holds the lease already.
+            TableUnavailable: No reply; the lease will expire by itself.
         """
         if self._held is None:
             raise LeaseLost(self.key)
@@ -349,16 +352,16 @@
                 if attempt + 1 == RELEASE_ATTEMPTS:
                     raise
                 continue
-            # After a lost reply a conflict may be with our own first copy.
+            # After a lost reply the conflict may be with our own first copy.
             if not reply.committed and not attempt:
                 raise LeaseLost(self.key)
             return
 
     def _length_s(self) -> float:
-        """Return how long the next write is to hold.
+        """Return the lease duration for the next write.
 
-        In a slow table the row changes, and is looked at, so seldom that a
-        candidate would see no change within the usual length.
+        In a slow table the row is written and read so rarely that a candidate
+        would observe no change within the usual duration.
         """
         if self._last_write_s < SLOW_WRITE_S:
             return self.lease_s
@@ -376,7 +379,7 @@
         )
 
     def _observe(self, row: Row | None) -> None:
-        """Note when this process saw the row's current version first."""
+        """Record when this process first observed the row's current version."""
         now = self.clock.now()
         self._was_isolated = (
             row != self._observed_row and now - self._last_read_at > ISOLATED_AFTER_S
@@ -399,7 +402,7 @@
         return self.clock.now() - self._observed_at > owner.lease_s + margin
 
     def _takeover_delay_passed(self, row: Row | None) -> bool:
-        """Tell whether a free lease was left to other candidates long enough."""
+        """Return whether a free lease was left to other candidates long enough."""
         if row is None:
             return True
         now = self.clock.now()
@@ -426,17 +429,17 @@
             self._record_acquired(ours, reply.version)
 
     def _inherited_remaining_s(self) -> float:
-        """Return for how long from now on earlier holders may still act."""
+        """Return for how long from now earlier holders may still act."""
         return max(0.0, self._inherited_until - self.clock.now())
 
     def _inherited_after_takeover_s(self, old: OwnerRow) -> float:
-        """Return how long earlier holders may still act after a takeover now."""
+        """Return how long earlier holders may act if the lease is taken over now."""
         if old.released:
             return old.inherited_s
         return max(old.inherited_s, old.lease_s + self.grants_outlive_lease_s)
 
     def _adopt_if_own(self, row: Row | None) -> bool:
-        """Settle a takeover whose reply was lost: the row says who won."""
+        """Resolve a takeover whose reply was lost: the row names the holder."""
         if row is None:
             return False
         owner = codec.decode(row.value, OwnerRow, place=self.key)
@@ -462,7 +465,7 @@
         self._free_since = None
 
     async def _resolve_conflict(self) -> None:
-        """Find out, after a conflict, whether an earlier copy took effect."""
+        """Determine, after a conflict, whether an earlier copy committed."""
         rows = await self.table.read(keys=(self.key,))
         owner = codec.decode(rows[0].value, OwnerRow) if rows else None
         if owner is not None and owner == self._pending:
@@ -471,11 +474,11 @@
         ours = owner is not None and owner == self._held
         self._pending = None
         if ours:
-            # Our lease stands, so a condition of the caller's own did not hold.
+            # We still hold the lease, so one of the caller's own checks failed.
             raise ConditionFailed(self.key)
         self.mark_lost()
         raise LeaseLost(self.key)
 
 
 class ConditionFailed(Exception):
-    """A condition in the caller's changes did not hold; nothing was written."""
+    """A check in the caller's changes failed; nothing was written."""
--- a/cranberrycleat/link.py
+++ b/cranberrycleat/link.py
@@ -1,17 +1,17 @@
-"""The link from a shard's owner to one worker: one task, written straight down.
-
-Invariant: `keep_until` and `release_until` are never earlier than the end of
-any lease that this or an earlier owner may have granted to a task on the
-worker (for `keep` jobs and others). They are raised *before* an order leaves;
-an order is void after its bound on the worker's own clock, so a lease granted
-by it ends at the latest a lease's length after that bound.
-
-Starts leave only under the ownership lease, and their bound is never later
-than that lease's end: a paused owner's late order is void when it arrives. A
-lapsed owner that does not know of a successor goes on renewing: `keep` tasks
-for as long as it lives, others for `release_after_s`. A successor that reached
-the worker has fenced such renewals off by its epoch; for a worker that it
-cannot reach it waits, as `link_after_takeover` says.
+"""The link from a shard's owner to one worker: a single asyncio task per worker.
+
+Invariant: `keep_until` and `release_until` are never earlier than the end of any
+lease that this or an earlier owner may have granted to a task on the worker (for
+`keep` jobs and for other jobs). They are raised *before* an order is sent. An order
+expires at its bound on the worker's own clock, so a lease granted by it ends at the
+latest one lease duration after that bound.
+
+Start orders are sent only under a valid ownership lease, and their bound is never
+later than that lease's end, so a paused owner's late order has expired when it
+arrives. An owner whose lease has expired and that does not know of a successor goes
+on renewing tasks: `keep` tasks for as long as it runs, others for
+`release_after_s`. A successor that reached the worker has fenced such renewals off
+by its epoch; for a worker that it cannot reach it waits (see `inherited_leases`).
 """
 
 import asyncio
@@ -41,22 +41,23 @@
 LOG: Final[logging.Logger] = part_logger("link")
 MIN_JITTER_FACTOR: Final = 0.9
 SYNCS_PER_LEASE: Final = 3
-"""A lease is renewed so often that a lost answer or two does not end it."""
+"""Syncs per lease, so that one or two lost replies do not let a lease expire."""
 SILENT_AFTER_MISSES: Final = 2
-"""Syncs without an answer before a worker draws no more work."""
+"""Consecutive syncs without a reply before a worker counts as silent."""
 
 
 @attrs.frozen(kw_only=True)
 class LinkTimes:
-    """The times a link keeps, all in seconds.
+    """Timing parameters of a link, in seconds unless noted otherwise.
 
     Attributes:
-        sync_s: Between syncs with nothing to order, in a small shard.
-        syncs_per_s: How many syncs a second the owner spends on upkeep.
-        lease_s: The lease that tasks get.
+        sync_s: Interval between syncs without orders, in a small shard.
+        syncs_per_s: The owner's total rate of syncs without orders, per second.
+        lease_s: The lease granted to tasks.
         order_s: How long an order stays valid.
-        release_after_s: How long a lapsed owner renews what is not `keep`.
-        drain_s: How long a leaving worker's services go on answering.
+        release_after_s: How long an owner whose lease has expired goes on renewing
+            tasks that are not `keep`.
+        drain_s: How long a leaving worker's services stay up.
     """
 
     sync_s: float = 1.0
@@ -68,10 +69,10 @@
 
 
 def sync_interval_s(*, workers: int, times: LinkTimes) -> float:
-    """Return how often to sync with each of so many workers, in seconds.
+    """Return the interval between syncs with each worker, in seconds.
 
-    The owner spends no more than `syncs_per_s` on upkeep as its shard grows, as
-    far as the lease allows. Orders never wait for this: they wake the link.
+    The total rate stays within `syncs_per_s` as the shard grows, as far as the lease
+    duration allows. Orders never wait for this interval: they wake the link.
     """
     by_budget = workers / times.syncs_per_s
     by_lease = times.lease_s / SYNCS_PER_LEASE
@@ -80,18 +81,20 @@
 
 @attrs.define(kw_only=True, eq=False)
 class WorkerLink:
-    """The owner's side of one worker's link.
+    """The owner's side of the link to one worker.
 
     Attributes:
         entry: The worker, as listed.
-        client: How to reach it, or None for a worker that no list names yet.
+        client: Its client, or None for a worker that is not listed yet.
         shard: The shard's state.
-        lease: The ownership lease the orders are given under.
+        lease: The ownership lease under which orders are sent.
         clock: The owner's clock.
-        times: The times to keep.
-        sync_s: Between syncs with nothing to order; grows with the shard.
-        keep_until: When the last lease of a `keep` task ends at the latest.
-        release_until: The same for other tasks.
+        times: The timing parameters.
+        sync_s: Interval between syncs without orders; grows with the shard.
+        keep_until: Latest end of any lease of a `keep` task.
+        release_until: Latest end of any lease of another task.
+        settled: Outcomes that are durable, to be acknowledged to the worker.
+        misses: Consecutive syncs without a reply.
     """
 
     entry: HostEntry
@@ -116,15 +119,15 @@
     _leaving_at: float = math.inf
 
     async def run(self) -> None:
-        """Sync for ever, at once when woken."""
+        """Sync until cancelled, immediately when woken."""
         while True:
             try:
                 await self._sync()
                 self._check_leases()
                 self._check_drain()
             except Exception:
-                # A link that stopped here would let every lease run out.
-                LOG.exception("A sync with %s failed.", self.entry.name)
+                # If the loop ended here, every lease on the worker would expire.
+                LOG.exception("Sync with worker %s failed.", self.entry.name)
             try:
                 await asyncio.wait_for(self.wake.wait(), self._pause_s())
             except TimeoutError:
@@ -132,7 +135,7 @@
             self.wake.clear()
 
     def _pause_s(self) -> float:
-        """Return how long to pause; links drift apart, so as not to go at once."""
+        """Return the pause until the next sync, with jitter to spread the links."""
         return self.sync_s * random.uniform(MIN_JITTER_FACTOR, 1.0)
 
     async def _sync(self) -> None:
@@ -176,10 +179,10 @@
         )
 
     def _scope(self, now: float) -> RenewScope:
-        """Say what may be renewed: less and less after the lease lapsed.
+        """Return which tasks may be renewed: fewer as time passes after expiry.
 
-        It is counted from the lapse itself and not from when this process
-        noticed it, since a successor counts from there too.
+        The time is counted from the expiry of the ownership lease itself and not
+        from when this process noticed it, since a successor counts from there too.
         """
         lapsed_s = now - self.lease.valid_until()
         if lapsed_s < self.times.release_after_s:
@@ -195,10 +198,10 @@
             self.release_until = max(self.release_until, until)
 
     def _on_worker_clock(self, bound: float) -> float:
-        """Return a time on the worker's clock that is no later than `bound`.
+        """Convert `bound` to a time on the worker's clock that is no later.
 
-        The worker read its clock before its reply arrived here, so what has
-        passed since then is at least what passed here since the arrival.
+        The worker read its clock before its reply arrived here, so at least the
+        time since that arrival has passed on the worker as well.
         """
         return self._worker_clock + (bound - self._worker_clock_read_at) * (
             1 - MAX_CLOCK_DRIFT
@@ -207,17 +210,18 @@
     def _handle_no_reply(self) -> None:
         self.misses += 1
         if self.misses == SILENT_AFTER_MISSES:
-            LOG.warning("worker %s does not answer", self.entry.name)
+            LOG.warning("Worker %s does not answer.", self.entry.name)
             self.shard.worker_silent(self.entry.name)
             self.on_change.set()
         if self.misses >= SILENT_AFTER_MISSES:
-            # From here on only ask: an order would grant one more lease, and
-            # the wait for the end of the last one would never be over.
+            # From now on sync without an incarnation, which grants nothing: each
+            # order would grant another lease, so the wait for the end of the last
+            # lease would never finish.
             self._incarnation = ""
 
     def _handle_error(self, exc: errors.ProblemError) -> None:
         if exc.code == errors.STALE_EPOCH:
-            LOG.warning("worker %s has a newer owner", self.entry.name)
+            LOG.warning("Worker %s has a newer owner.", self.entry.name)
             self.lease.mark_lost()
         self._incarnation = ""
 
@@ -244,7 +248,7 @@
             self.on_change.set()
 
     def _handle_new_incarnation(self, reply: SyncReply) -> None:
-        """First word of this incarnation: it is under our epoch from here on."""
+        """Handle the first reply of an incarnation, which now has our epoch."""
         self.shard.drop_unreported(self.entry.name, reply.tasks)
         until = self.clock.now() + self.times.lease_s * (1 + MAX_CLOCK_DRIFT)
         self.keep_until = self.release_until = until + self.times.order_s
@@ -258,7 +262,7 @@
             self.shard.evacuate(self.entry.name)
 
     def _check_leases(self) -> None:
-        """Give up a silent worker's tasks once every lease has run out."""
+        """Mark a silent worker's tasks as lost once all their leases have expired."""
         if not self.is_silent() or not self.lease.is_valid():
             return
         now = self.clock.now()
@@ -271,18 +275,18 @@
             self.on_change.set()
 
     def is_silent(self) -> bool:
-        """Tell whether the worker has stopped answering."""
+        """Return whether the worker has stopped replying."""
         return self.client is None or self.misses >= SILENT_AFTER_MISSES
 
     def mark_declared_dead(self) -> None:
-        """An operator vouches that the worker is gone: its leases are over."""
+        """Treat all leases as expired, since an operator declared the worker dead."""
         self.keep_until = self.release_until = -math.inf
         self.wake.set()
 
 
 @attrs.frozen(kw_only=True)
 class InheritedLeases:
-    """When what an earlier owner granted has run out at the latest.
+    """Latest end of the leases that earlier owners granted.
 
     Attributes:
         keep_until: For tasks of `keep` jobs.
@@ -294,12 +298,12 @@
 
 
 def inherited_leases(*, now: float, silent: bool, times: LinkTimes) -> InheritedLeases:
-    """Return what to wait for at takeover, for workers that do not answer.
+    """Return how long to wait after a takeover for workers that do not respond.
 
-    A holder that released its lease had stopped renewing before. One that fell
-    silent may be cut off and alive: it goes on renewing `keep` tasks without
-    bound, so those are re-placed only once the worker answers the new owner or
-    an operator vouches that it is gone; the others after `release_after_s`.
+    A holder that released its lease had stopped renewing tasks before. One that did
+    not release it may be partitioned but alive: it renews `keep` tasks indefinitely,
+    so those are re-placed only once the worker responds to the new owner or an
+    operator declares it dead; other tasks after `release_after_s`.
     """
     last = now + (times.lease_s + times.order_s) * (1 + MAX_CLOCK_DRIFT)
     if not silent:
--- a/cranberrycleat/orders.py
+++ b/cranberrycleat/orders.py
@@ -1,7 +1,8 @@
-"""What a shard's state asks of workers, and offers to gateways.
+"""Orders for workers and endpoints for gateways, derived from a shard's state.
 
-Read-only views of `shard`: the orders that a link carries to its worker, and the
-endpoints that gateways hear of. A start is ordered only once it is durable.
+Read-only views of `shard`: the orders that a link sends to its worker, and the
+endpoints that are published to gateways. A start is ordered only once the placement
+is durable.
 """
 
 from cranberrycleat.inventory import InventoryWorker, WorkerState
@@ -11,7 +12,7 @@
 
 
 def start_orders(shard: Shard, worker: str) -> tuple[StartOrder, ...]:
-    """Return the durable placements that the worker has not confirmed."""
+    """Return start orders for durable placements that the worker has not confirmed."""
     orders = []
     for task in shard.inventory.workers[worker].tasks:
         active = shard.active[task]
@@ -32,7 +33,7 @@
 
 
 def stop_orders(shard: Shard, worker: str) -> tuple[StopOrder, ...]:
-    """Return the attempts on the worker that are to end."""
+    """Return stop orders for the attempts on the worker that are to end."""
     orders = [
         StopOrder(
             task=task,
@@ -48,7 +49,7 @@
 
 
 def endpoints(shard: Shard) -> tuple[Endpoint, ...]:
-    """Return where the shard's services answer."""
+    """Return the endpoints of the shard's services."""
     found = []
     for task, active in sorted(shard.active.items()):
         job = shard.jobs[job_of(task)]
--- a/cranberrycleat/placement.py
+++ b/cranberrycleat/placement.py
@@ -1,10 +1,10 @@
-"""Placement policies: where the tasks of one job go.
+"""Placement policies: which workers the tasks of one job are assigned to.
 
-A policy is a plug-in with one method, `place`. It looks for room in the
-capacity book, reserves what it finds there and says what it did. The three
-that ship here differ as their workloads do: services spread over racks, batch
-goes to the tightest fit, gangs get all their places or none. Order between
-jobs, quotas and preemption are not a policy's business; see `rounds`.
+A policy is a plug-in with one method, `place`. It searches the worker inventory,
+allocates capacity there and returns the assignments. The built-in policies match
+the kinds of workload: services are spread over racks, batch tasks are placed best
+fit, gangs are placed all or nothing. Job order, quotas and preemption are not
+part of a policy; see `rounds`.
 """
 
 import math
@@ -23,20 +23,21 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementRequest:
-    """Tasks of one job that want a place.
+    """Pending tasks of one job that are to be placed.
 
     Attributes:
         job: The job's name.
         kind: Its kind.
-        team: Who it is counted against.
-        rank: Its priority; the lower goes first.
-        needs: What the book counts each task with.
+        team: The team whose quota it counts against.
+        rank: Its priority; lower ranks are placed first.
+        needs: The resources allocated for each task.
         selector: Which workers may run it.
-        tasks: The names of the tasks that want a place.
-        run_s: How long a task is expected to run, in seconds; 0 for unknown.
-        gives_way: How its tasks make room for others.
-        ends_by: When a task placed now would end, on the planner's clock;
-            workers that are held for a gang take only what ends before its turn.
+        tasks: The names of the tasks to place.
+        run_s: Expected run time of a task, in seconds; 0 for unknown.
+        gives_way: How its tasks are preempted.
+        ends_by: When a task placed now would end, on the planner's clock; workers
+            reserved for a gang accept only tasks that end before the reservation
+            starts.
     """
 
     job: str
@@ -53,14 +54,14 @@
 
 @attrs.frozen(kw_only=True)
 class Assignment:
-    """A task and the worker where room was reserved for it."""
+    """A task and the worker on which capacity was allocated for it."""
 
     task: str
     worker: str
 
 
 class PlacementPolicy(Protocol):
-    """What a placement policy does."""
+    """Interface of a placement policy."""
 
     def place(
         self,
@@ -69,21 +70,21 @@
         inventory: WorkerInventory,
         racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
-        """Reserve room in the book for as many of the tasks as fit.
+        """Allocate capacity for as many of the tasks as fit.
 
         Args:
-            ask: The tasks.
-            book: The capacity book, which is changed.
-            racks: How many tasks of the job run in each rack already.
+            request: The tasks.
+            inventory: The worker inventory, which is modified.
+            racks: Number of the job's tasks already placed in each rack.
 
         Returns:
-            The assignments made; tasks left out find no room now.
+            The assignments made; the other tasks do not fit at present.
         """
 
 
 @register(PluginKind.PLACEMENT, Kind.BATCH.value)
 class BestFit:
-    """Each task goes to the worker that it leaves the least room on."""
+    """Places each task on the worker that is left with the least free capacity."""
 
     def place(
         self,
@@ -92,7 +93,7 @@
         inventory: WorkerInventory,
         racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
-        """Reserve room for each task until one finds none."""
+        """Allocate capacity for each task until one does not fit."""
         pool = inventory.pool(request.selector)
         assignments = []
         for task in request.tasks:
@@ -106,7 +107,7 @@
 
 @register(PluginKind.PLACEMENT, Kind.GANG.value)
 class AllOrNothing:
-    """All the tasks get a place in one step, or none keeps one."""
+    """Places all tasks in one step, or none of them."""
 
     def place(
         self,
@@ -115,7 +116,7 @@
         inventory: WorkerInventory,
         racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
-        """Reserve room for every task, or for none."""
+        """Allocate capacity for every task, or for none."""
         assignments = BestFit().place(request=request, inventory=inventory, racks=racks)
         if len(assignments) == len(request.tasks):
             return assignments
@@ -126,7 +127,7 @@
 
 @register(PluginKind.PLACEMENT, Kind.SERVICE.value)
 class SpreadOverRacks:
-    """Each task goes to the rack with the fewest of its kin, then tightest."""
+    """Places each task in the rack with the fewest tasks of its job, best fit."""
 
     def place(
         self,
@@ -135,7 +136,7 @@
         inventory: WorkerInventory,
         racks: dict[str, int],
     ) -> tuple[Assignment, ...]:
-        """Reserve room for each task until one finds none."""
+        """Allocate capacity for each task until one does not fit."""
         pool = inventory.pool(request.selector)
         counts = dict(racks)
         assignments = []
@@ -167,7 +168,7 @@
 
 
 def _spread_key(worker: InventoryWorker, prefix: str) -> tuple[int, int, str]:
-    """Kin on the worker first, so that one host's loss costs one replica."""
+    """Sort by the job's replicas on the worker first: losing a host costs one."""
     replicas = sum(1 for task in worker.tasks if task.startswith(prefix))
     return (replicas, worker.free.processors, worker.name)
 
@@ -175,10 +176,10 @@
 def unsatisfiable_reasons(
     request: PlacementRequest, inventory: WorkerInventory
 ) -> tuple[str, ...]:
-    """Say why no worker of the book could hold a task even if it were empty.
+    """Explain why a task would fit no worker of the inventory, even an empty one.
 
     Returns:
-        The reasons, or nothing where some worker could.
+        The reasons, or an empty tuple if some worker could hold a task.
     """
     members = inventory.pool(request.selector).members.values()
     if not members:
--- a/cranberrycleat/preemption.py
+++ b/cranberrycleat/preemption.py
@@ -1,8 +1,8 @@
-"""Making room: which tasks give way to more urgent work, and how.
+"""Preemption: which tasks are preempted for more urgent jobs, and how.
 
-Of the workers that could be made to hold a task, the one that loses least is
-taken: checkpointed work loses nothing, throttled work goes on more slowly, and
-of stopped work what it has run so far is lost.
+Of the workers on which a task would fit after preemption, the one that loses the
+least work is chosen: checkpointed tasks lose nothing, throttled tasks continue
+more slowly, and stopped tasks lose the work done so far.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,18 +15,18 @@
 from cranberrycleat.jobs import PreemptionMode
 
 MAX_WORKERS_EXAMINED: Final = 64
-"""Workers looked at for one task; enough to find a cheap one, and bounded."""
+"""Maximum workers examined per task: enough to find a cheap one at bounded cost."""
 THROTTLE_DIVISOR: Final = 2
-"""A throttled task keeps one part in so many of its processors."""
+"""A throttled task keeps its processors divided by this."""
 
 
 @attrs.frozen(kw_only=True)
 class Victim:
-    """What is known of a task that may have to give way.
+    """A task that may be preempted.
 
     Attributes:
-        rank: Its priority; only a higher number gives way.
-        how: How it gives way.
+        rank: Its priority; only higher numbers than the new task's are preempted.
+        how: How it is preempted.
         started: When it was placed, on the planner's clock.
     """
 
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Preemption:
-    """A task that is to give way."""
+    """A task to preempt."""
 
     task: str
     worker: str
@@ -48,14 +48,14 @@
 
 
 def freed_amounts(needs: Amounts, how: PreemptionMode) -> Amounts:
-    """Return what a task frees by giving way."""
+    """Return the resources that preempting a task frees."""
     if how is PreemptionMode.THROTTLE:
         return Amounts(processors=needs.processors - throttled(needs).processors)
     return needs
 
 
 def throttled(needs: Amounts) -> Amounts:
-    """Return what a throttled task is counted with."""
+    """Return the resources allocated for a task while it is throttled."""
     return attrs.evolve(needs, processors=needs.processors // THROTTLE_DIVISOR)
 
 
@@ -66,11 +66,11 @@
     find_victim: VictimLookup,
     now: float,
 ) -> tuple[Preemption, ...]:
-    """Choose the tasks of one worker that give way to a task.
+    """Choose tasks of one worker to preempt so that a new task fits there.
 
     Returns:
-        The preemptions, or nothing where no worker looked at could be made to
-        hold the task.
+        The preemptions, or an empty tuple if the task would fit on none of the
+        workers examined.
     """
     best: tuple[float, tuple[Preemption, ...]] | None = None
     examined = 0
@@ -93,7 +93,7 @@
     find_victim: VictimLookup,
     now: float,
 ) -> tuple[float, tuple[Preemption, ...]] | None:
-    """Return the work lost and the preemptions that make room on one worker."""
+    """Return the work lost and the preemptions needed on one worker, if enough."""
     free, lost, chosen = worker.free, 0.0, []
     for cost, task, how in _eligible_victims(worker, rank, find_victim, now):
         if needs.fits_in(free):
@@ -107,7 +107,7 @@
 def _eligible_victims(
     worker: InventoryWorker, rank: int, find_victim: VictimLookup, now: float
 ) -> list[tuple[float, str, PreemptionMode]]:
-    """Return who may give way on a worker, the cheapest first."""
+    """Return the tasks on a worker that may be preempted, cheapest first."""
     found: list[tuple[float, str, PreemptionMode]] = []
     for task, needs in worker.tasks.items():
         victim = find_victim(task)
@@ -119,7 +119,7 @@
 
 
 def _lost_work(needs: Amounts, victim: Victim, now: float) -> float:
-    """Return the processor-seconds that are lost if a task gives way."""
+    """Return the processor-seconds of work lost by preempting a task."""
     if victim.how is PreemptionMode.STOP:
         return needs.processors * (now - victim.started)
     return 0.0
--- a/cranberrycleat/registry.py
+++ b/cranberrycleat/registry.py
@@ -1,8 +1,8 @@
-"""The registry: plug-ins register themselves here by kind and name.
+"""Plug-in registry: plug-ins register themselves by kind and name.
 
-A plug-in is a class or factory; its module registers it when imported, and
-`plugins` imports the modules that ship with the package. The defaults go
-through the same interface as anybody else's.
+A plug-in is a class or factory that its module registers on import; `plugins`
+imports the modules included in the package. The built-in defaults use the same
+interface as third-party plug-ins.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class PluginKind(enum.Enum):
-    """What a plug-in is for."""
+    """The extension point that a plug-in implements."""
 
     PLACEMENT = "placement policy"
     ROUTING = "routing policy"
@@ -31,7 +31,7 @@
     """Return a decorator that registers a factory under a name.
 
     Raises:
-        ValueError: The name is taken by another factory.
+        ValueError: Another factory is registered under the name.
     """
 
     def keep(factory: F) -> F:
@@ -46,7 +46,7 @@
     """Return a registered factory.
 
     Raises:
-        FindingsError: No plug-in of that kind has that name.
+        FindingsError: No plug-in of that kind is registered under the name.
     """
     factory = _PLUGINS.get((kind, name))
     if factory is None:
--- a/cranberrycleat/retry.py
+++ b/cranberrycleat/retry.py
@@ -1,8 +1,9 @@
-"""The retry budget: retries as a share of answers, so that they can't multiply.
+"""Retry budget: limits retries to a share of complete responses.
 
-Each whole answer earns a part of a retry; each retry spends a whole one. When
-most requests fail, little is earned and nearly nothing is retried. The part is
-importable on its own and needs neither clock nor table.
+Each complete response deposits a fraction of a retry; each retry withdraws a whole
+one. When most requests fail, little is deposited and almost nothing is retried, so
+retries cannot multiply the load. This module can be imported on its own and needs
+neither clock nor table.
 """
 
 from typing import Final
@@ -10,7 +11,7 @@
 import attrs
 
 MAX_SAVED_RETRIES: Final = 10.0
-"""Retries that may be saved up, so that a quiet service may retry at all."""
+"""Maximum balance; also the initial one, so that low-traffic services can retry."""
 
 
 @attrs.define(kw_only=True)
@@ -18,19 +19,19 @@
     """A budget of retries.
 
     Attributes:
-        share: Retries earned by each whole answer.
-        saved: Retries that may be made now.
+        share: Retries deposited per complete response.
+        saved: The balance: retries that may be made now.
     """
 
     share: float
     saved: float = MAX_SAVED_RETRIES
 
     def deposit(self) -> None:
-        """Note a whole answer."""
+        """Deposit `share` for a complete response."""
         self.saved = min(MAX_SAVED_RETRIES, self.saved + self.share)
 
     def withdraw(self) -> bool:
-        """Take one retry from the budget; return whether there was one."""
+        """Withdraw one retry; return whether the balance allowed it."""
         if self.saved < 1.0:
             return False
         self.saved -= 1.0
--- a/cranberrycleat/rounds.py
+++ b/cranberrycleat/rounds.py
@@ -1,14 +1,14 @@
-"""Placement rounds: which pending jobs are tried, in which order.
+"""Scheduling rounds: which pending jobs are placed, and in which order.
 
-One round walks the pending jobs once and hands each to the policy of its kind.
-Order, quotas, reservations and preemption are decided here, over the one
-capacity book; the caller makes the plan durable before it acts on it.
+One round iterates over the pending jobs once and passes each to the placement
+policy of its kind. Order, quotas, reservations and preemption are decided here,
+on a single worker inventory; the caller persists the plan before acting on it.
 
-Order: the higher priority first; within one, the least work first (run time by
-processors), the sooner the longer it has waited, so that nothing waits for ever.
-A gang that has waited long reserves workers: what is placed there meanwhile
-must be expected to end before the gang's turn, so that it does not starve and
-small work is not held up.
+Order: highest priority first; within a priority the least work first (run time
+times processors), aged by waiting time so that no job starves. A gang that has
+waited long reserves workers: tasks placed on them in the meantime must be expected
+to end before the reservation starts (backfill), so that the gang does not starve
+and small jobs are not blocked.
 """
 
 import math
@@ -32,22 +32,22 @@
 from cranberrycleat.selectors import Selector
 
 MIN_RUN_S: Final = 1.0
-"""Shorter run times count as this, or the ratio would know only the wait."""
+"""Shorter run times count as this; otherwise waiting time alone would set the order."""
 DEFAULT_RUN_S: Final = 60.0
 RESERVATION_REFRESH_S: Final = 5.0
-"""How often a reservation's workers are chosen anew."""
+"""How often the workers of a reservation are chosen again."""
 RESERVATION_CANDIDATES: Final = 128
-"""Workers that a reservation is chosen among, those with the most room."""
+"""How many workers, those with the most free capacity, a reservation considers."""
 
 
 @attrs.frozen(kw_only=True)
 class UnplacedJob:
-    """A job that got less than it asked for in this round.
+    """A job with tasks that could not be placed in this round.
 
     Attributes:
         job: The job's name.
         never: Whether no worker of the shard could ever run it.
-        reasons: Why, for people.
+        reasons: Explanations for operators.
     """
 
     job: str
@@ -57,12 +57,12 @@
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """What one round decided.
+    """The decisions of one round.
 
     Attributes:
-        assignments: Tasks and the workers that have room reserved for them.
-        refusals: Jobs that wait, or can never run.
-        preemptions: Tasks that are to give way.
+        assignments: Tasks and the workers with capacity allocated for them.
+        unplaced: Jobs that keep waiting, or can never run.
+        preemptions: Tasks to preempt.
     """
 
     assignments: tuple[Assignment, ...]
@@ -72,12 +72,13 @@
 
 @attrs.frozen(kw_only=True)
 class PlannerProfile:
-    """How the planner weighs waiting against packing (see `config`).
+    """How the planner trades waiting time against packing (see `config`).
 
     Attributes:
         reserve_after_s: How long a gang waits before it reserves workers.
-        preempts: Whether urgent work makes others give way.
-        round_s: How long rounds are gathered; longer rounds cost less control.
+        preempts: Whether urgent jobs preempt others.
+        round_s: How long requests are collected for a round; longer rounds cost
+            less control-plane work.
     """
 
     reserve_after_s: float = 10.0
@@ -93,11 +94,11 @@
 
 @attrs.define(kw_only=True)
 class TeamUsage:
-    """What one team has in use, and the share it may have.
+    """Resource usage and quota of one team.
 
     Attributes:
         used: The sum over its tasks.
-        quota: The largest dominant share of the whole it may use.
+        quota: Its maximum dominant share of the total capacity.
     """
 
     used: Amounts = NOTHING
@@ -106,10 +107,10 @@
 
 @attrs.define(kw_only=True)
 class Reservation:
-    """Workers held for a gang.
+    """Workers reserved for a gang.
 
     Attributes:
-        job: The gang.
+        job: The gang's job name.
         workers: The workers' names.
         chosen_at: When they were chosen.
     """
@@ -121,7 +122,7 @@
 
 @attrs.frozen(kw_only=True)
 class UnfitNeeds:
-    """Needs that found no room in this round, so that larger ones need not look."""
+    """Needs that did not fit in this round, so larger ones need not be tried."""
 
     needs: Amounts
     ends_by: float
@@ -129,7 +130,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlacedTask:
-    """What the planner remembers of a task it placed."""
+    """The planner's record of a task that it placed."""
 
     victim: Victim
     ends_at: float
@@ -137,16 +138,17 @@
 
 @attrs.define(kw_only=True)
 class RoundPlanner:
-    """Plans rounds over one book.
+    """Plans rounds over one worker inventory.
 
     Attributes:
-        book: The capacity book.
-        whole: What all workers have together.
-        teams: What each team uses.
-        weights: How waiting and packing are weighed.
-        history: What was learned of workloads.
-        placed: What is remembered of tasks that hold a place.
-        policies: The policy for each kind of job.
+        inventory: The worker inventory.
+        total_capacity: The sum of all workers' capacities.
+        teams: Usage and quota of each team.
+        profile: The trade-off between waiting time and packing.
+        history: Run times and usage learned from earlier runs.
+        placed: Records of the tasks that are placed.
+        policies: The placement policy for each kind of job.
+        reservation: The workers reserved for a gang, if any.
     """
 
     inventory: WorkerInventory
@@ -172,8 +174,8 @@
         """Plan one round.
 
         Args:
-            asks: The pending tasks, one ask a job.
-            racks: For each job, how many of its tasks run in each rack.
+            requests: The pending tasks, one request per job.
+            racks: For each job, the number of its tasks placed in each rack.
             now: The caller's clock, in seconds.
         """
         self.inventory.begin_round(now)
@@ -196,7 +198,7 @@
     def plan_job(
         self, request: PlacementRequest, racks: dict[str, int], now: float
     ) -> Plan:
-        """Decide about one job: places, or why not, and who gives way."""
+        """Plan one job: its assignments, why tasks are unplaced, and preemptions."""
         new_assignments = self._place(request, racks, now)
         missing = len(request.tasks) - len(new_assignments)
         if not missing:
@@ -208,14 +210,14 @@
         )
 
     def forget(self, task: str) -> None:
-        """Forget a task that holds no place any more."""
+        """Remove the record of a task that is no longer placed."""
         self.placed.pop(task, None)
         self._being_preempted.pop(task, None)
 
     # --- order ----------------------------------------------------------------
 
     def _update_waiting(self, requests: list[PlacementRequest], now: float) -> None:
-        """Remember since when each job has waited."""
+        """Record since when each job has been waiting."""
         self._waiting_since = {
             request.job: self._waiting_since.get(request.job, now)
             for request in requests
@@ -232,7 +234,7 @@
     def _sorted(
         self, requests: list[PlacementRequest], now: float
     ) -> list[PlacementRequest]:
-        """Return the asks in the order in which they are tried."""
+        """Return the requests in the order in which they are planned."""
         shares = {
             name: dominant_share(team.used, self.total_capacity)
             for name, team in self.teams.items()
@@ -270,20 +272,20 @@
         return new_assignments
 
     def _ends_by(self, request: PlacementRequest, now: float) -> float:
-        """Say when the tasks would end; a gang may use what is held for it."""
+        """Return when the tasks would end; a gang may use its own reservation."""
         if self.reservation is not None and self.reservation.job == request.job:
             return -math.inf
         return now + request.run_s if request.run_s else math.inf
 
     def _known_unfit(self, request: PlacementRequest, ends_by: float) -> bool:
-        """Tell whether as little or less found no room already in this round."""
+        """Return whether the same or smaller needs already failed in this round."""
         return any(
             each.needs.fits_in(request.needs) and each.ends_by <= ends_by
             for each in self._unfit.get(request.selector, ())
         )
 
     def _record_unfit(self, request: PlacementRequest) -> None:
-        """Remember the smallest needs that found no room in this round."""
+        """Record the smallest needs that did not fit in this round."""
         smallest = self._unfit.setdefault(request.selector, [])
         new = UnfitNeeds(needs=request.needs, ends_by=request.ends_by)
         smallest[:] = [
@@ -319,7 +321,7 @@
             self._cancel_reservation()
 
     def _count_within_quota(self, request: PlacementRequest) -> int:
-        """Return how many of the tasks the team's quota has room for."""
+        """Return how many of the tasks fit within the team's quota."""
         team = self._team(request.team)
         if team.quota >= 1.0:
             return len(request.tasks)
@@ -344,12 +346,12 @@
             return UnplacedJob(job=request.job, never=False, reasons=(reason,))
         return UnplacedJob(job=request.job, never=False, reasons=("no room now",))
 
-    # --- what found no room -----------------------------------------------------
+    # --- unplaced tasks: preemption and reservations ----------------------------
 
     def _handle_unplaced(
         self, request: PlacementRequest, missing: int, now: float
     ) -> tuple[Preemption, ...]:
-        """Make room for urgent work, or hold workers for a gang."""
+        """Preempt for urgent jobs, or reserve workers for a gang."""
         if self._count_within_quota(request) == 0:
             return ()
         if request.rank == Priority.URGENT and self.profile.preempts:
@@ -361,7 +363,7 @@
     def _preempt(
         self, request: PlacementRequest, missing: int, now: float
     ) -> tuple[Preemption, ...]:
-        """Have others give way; what gives way already counts as room to come."""
+        """Preempt other tasks; preemptions already under way for the job count."""
         expected = sum(
             1 for job in self._being_preempted.values() if job == request.job
         )
@@ -386,7 +388,7 @@
         return None if placed is None else placed.victim
 
     def _relieve_overcommitted(self, now: float) -> tuple[Preemption, ...]:
-        """Where reports showed a worker over its capacity, let tasks give way."""
+        """Preempt tasks on workers whose reported usage exceeds their capacity."""
         preemptions: list[Preemption] = []
         for worker in self.inventory.overcommitted_workers():
             if any(task in self._being_preempted for task in worker.tasks):
@@ -401,7 +403,7 @@
         return tuple(preemptions)
 
     def _maybe_reserve(self, request: PlacementRequest, now: float) -> None:
-        """Hold workers for a gang that has waited long, one gang at a time."""
+        """Reserve workers for a gang that has waited long, one gang at a time."""
         current = self.reservation
         if current is not None and current.job != request.job:
             return
@@ -413,7 +415,7 @@
         self._reserve(request, now)
 
     def _reserve(self, request: PlacementRequest, now: float) -> None:
-        """Hold the workers that will be able to take the members soonest."""
+        """Reserve the workers that can start the gang's members soonest."""
         places = sorted(
             (at, worker.name)
             for worker in islice(
@@ -433,7 +435,7 @@
     def _start_times(
         self, worker: InventoryWorker, request: PlacementRequest, now: float
     ) -> list[float]:
-        """Return when the worker could take its first, second ... member."""
+        """Return when the worker could start its first, second, ... member."""
         if not request.needs.fits_in(worker.capacity):
             return []
         ends = sorted((self._ends_at(task), task) for task in worker.tasks)
--- a/cranberrycleat/routing.py
+++ b/cranberrycleat/routing.py
@@ -1,7 +1,7 @@
-"""Routing policies: which endpoint gets a request.
+"""Routing policies: which endpoint a request is sent to.
 
-A policy is a plug-in with one method, `pick`. The default looks at a few
-endpoints at random and takes the least loaded, in its own data centre first.
+A policy is a plug-in with one method, `pick`. The default samples two endpoints at
+random and picks the less loaded one, preferring its own data centre.
 """
 
 import random
@@ -17,34 +17,34 @@
 
 
 class RoutingPolicy(Protocol):
-    """What a routing policy does."""
+    """Interface of a routing policy."""
 
     def pick(
         self, service: ServiceEndpoints, *, now: float, tried: frozenset[str]
     ) -> EndpointState | None:
-        """Pick an endpoint that may get new work now.
+        """Pick an endpoint that may get a new request now.
 
         Args:
             service: The service's endpoints.
-            now: The clock's time.
-            tried: URLs that this request was sent to before.
+            now: The current clock time.
+            tried: URLs that this request was already sent to.
 
         Returns:
-            An endpoint, or None where none has room.
+            An endpoint, or None if no usable endpoint has a free slot.
         """
 
 
 @register(PluginKind.ROUTING, DEFAULT_POLICY)
 @attrs.define(kw_only=True, eq=False)
 class LeastOfTwo:
-    """The one of two usable endpoints that will answer sooner; near ones first."""
+    """Picks the faster of two random usable endpoints, local ones first."""
 
     rng: random.Random = attrs.field(factory=random.Random)
 
     def pick(
         self, service: ServiceEndpoints, *, now: float, tried: frozenset[str]
     ) -> EndpointState | None:
-        """Pick an endpoint that may get new work now."""
+        """Pick an endpoint that may get a new request now."""
         for group in (service.local, service.remote):
             usable = [
                 each
@@ -64,14 +64,14 @@
 @register(PluginKind.ROUTING, "round-robin")
 @attrs.define(kw_only=True, eq=False)
 class RoundRobin:
-    """Each usable endpoint in turn, wherever it stands."""
+    """Picks the usable endpoints in turn, whatever their data centre."""
 
     turn: int = 0
 
     def pick(
         self, service: ServiceEndpoints, *, now: float, tried: frozenset[str]
     ) -> EndpointState | None:
-        """Pick the next endpoint that may get new work now."""
+        """Pick the next endpoint that may get a new request now."""
         everyone = service.all()
         for _ in everyone:
             self.turn = (self.turn + 1) % len(everyone)
--- a/cranberrycleat/scheduler.py
+++ b/cranberrycleat/scheduler.py
@@ -1,9 +1,9 @@
 """The scheduler daemon: operators' API, and owner of its data centre's shard.
 
-One task works as owner or candidate (`_own`), one for each worker keeps its
-link (`link`), one for each peer exchanges digests (`peers`). The owner's round:
-take what operators changed, plan, write it all in one transaction that also
-renews the lease, and only then let orders leave.
+One asyncio task acts as owner or candidate (`_run_ownership`), one per worker
+maintains its link (`link`), and one per peer exchanges digests (`peers`). In each
+round the owner applies operators' changes, plans, writes the result in one
+transaction that also renews the lease, and only then sends orders.
 """
 
 import asyncio
@@ -46,18 +46,18 @@
 
 LOG: Final[logging.Logger] = part_logger("scheduler")
 RENEW_FRACTION: Final = 0.5
-"""The share of the lease that may pass before it is renewed."""
+"""The lease is renewed once less than this fraction of it remains."""
 POLLS_PER_LEASE: Final = 5
 HOST_POLL_S: Final = 2.0
 ROUND_DRAIN_TIMEOUT_S: Final = 10.0
-"""The longest that a round under way is waited for at shutdown, in seconds."""
+"""Maximum wait at shutdown for a round in progress."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class PendingWrite:
-    """A round that has been sent to the table but not confirmed.
+    """A round that was sent to the table but is not confirmed yet.
 
-    It is sent again unchanged until its fate is known.
+    It is resent unchanged until its outcome is known.
     """
 
     changes: Changes
@@ -75,9 +75,9 @@
         clock: Its clock.
         platform: The platform's table and host list.
         lease: Its view of the shard's ownership lease.
-        shard: The shard's state while it is the owner, else None.
+        shard: The shard's state while this process is the owner, else None.
         links: The links to the shard's workers, by name.
-        watcher: The configuration it holds.
+        watcher: Holds the current configuration.
     """
 
     cfg: SchedulerOptions
@@ -135,11 +135,11 @@
 
     @property
     def url(self) -> str:
-        """The base URL it answers at."""
+        """The base URL of the HTTP server."""
         return self._server.url
 
     async def start(self) -> None:
-        """Begin to serve and to work."""
+        """Start the HTTP server and the background tasks."""
         await self._server.start()
         self._owner_task = self._background.spawn(self._run_ownership())
         self._background.spawn(self._watch_config())
@@ -147,17 +147,18 @@
             self._background.spawn(self.peers.gossip_with(url))
 
     async def drain(self) -> None:
-        """Hand the shard over and go on answering until the balancer knows."""
+        """Release the shard, and keep serving until the load balancer has noticed."""
         self.draining = True
         self.changed.set()
         if self._owner_task is not None:
-            # Two writers of one lease would take each other for a successor.
+            # Two concurrent writers of one lease would each take the other for a
+            # successor.
             await asyncio.wait([self._owner_task], timeout=ROUND_DRAIN_TIMEOUT_S)
         await self._hand_over()
         await asyncio.sleep(self.cfg.drain_s)
 
     async def stop(self) -> None:
-        """Finish requests in flight and end every task."""
+        """Finish requests in flight and cancel the background tasks."""
         await self._server.stop()
         await self._background.cancel()
         await self._link_tasks.cancel()
@@ -175,8 +176,8 @@
             except (LeaseLost, ConditionFailed):
                 await self._ownership_lost()
             except Exception:
-                # An owner that stopped here would look alive and do nothing.
-                LOG.exception("A round failed; the next one tries again.")
+                # If the loop ended here, the process would look alive but do nothing.
+                LOG.exception("Scheduling round failed; retrying in the next round.")
             await self._wait()
 
     def _set_table_reachable(self, reachable: bool) -> None:
@@ -202,7 +203,7 @@
         elif await self.lease.acquire():
             await self._take_over()
         elif self.lease.is_holder:
-            # Won, but it lapsed before the shard's rows could be read.
+            # Acquired, but it expired before the shard's rows could be read.
             await self.lease.commit()
 
     async def _take_over(self) -> None:
@@ -232,16 +233,19 @@
         self.links.clear()
 
     async def _hand_over(self) -> None:
-        """Stop renewing first; only then may a candidate take over at once."""
+        """Stop renewing workers' leases, then release the ownership lease.
+
+        Only in this order may a candidate take over immediately.
+        """
         if self.shard is None:
             return
         try:
             await self._flush(self.shard)
             await self._link_tasks.cancel()
             await self.lease.release()
-            LOG.info("Handed over %s.", self.cfg.data_centre)
+            LOG.info("Released ownership of %s.", self.cfg.data_centre)
         except (errors.TableUnavailable, LeaseLost, ConditionFailed):
-            LOG.warning("Could not hand over; the lease will run out.")
+            LOG.warning("Could not release the shard's lease; it will expire.")
         await self._ownership_lost()
 
     # --- rounds -------------------------------------------------------------
@@ -269,7 +273,7 @@
         return left < self.cfg.lease_s * RENEW_FRACTION
 
     async def _flush(self, shard: Shard) -> None:
-        """Write what is pending, or just renew, and then let orders leave."""
+        """Write the pending round, or only renew, and then wake links with orders."""
         pending = self._pending
         if pending is None:
             await self.lease.commit()
@@ -303,12 +307,12 @@
         return tuple(taken)
 
     def _inbox_entry(self, row: Row) -> InboxEntry | None:
-        """Read a change; one that can't be read is kept, said once, and passed."""
+        """Decode an inbox row; skip a malformed one, log it once and keep the row."""
         try:
             return codec.decode(row.value, InboxEntry, place=row.key)
         except errors.FindingsError as exc:
             if row.key not in self._unreadable:
-                LOG.error("A change can't be read: %s", exc)
+                LOG.error("Skipping malformed inbox entry: %s", exc)
                 self._unreadable.add(row.key)
             return None
 
@@ -328,11 +332,11 @@
             await self._remove_if_gone(shard, name)
 
     async def _remove_if_gone(self, shard: Shard, name: str) -> None:
-        """Forget a worker that is off the list, silent, and has nothing left."""
+        """Remove a worker that is no longer listed, silent and without tasks."""
         link = self.links[name]
         if not link.is_silent() or shard.inventory.workers[name].tasks:
             return
-        LOG.info("worker %s is gone", name)
+        LOG.info("Removed worker %s: not listed, silent, no tasks.", name)
         del self.links[name]
         shard.forget_worker(name)
         if link.task is not None:
@@ -385,7 +389,7 @@
                 if await self.watcher.poll():
                     self._apply_config()
             except errors.TableUnavailable:
-                LOG.debug("no configuration from the table")
+                LOG.debug("Table unavailable; configuration not refreshed.")
             await asyncio.sleep(self.cfg.config_poll_s)
 
     def _apply_config(self) -> None:
@@ -401,7 +405,7 @@
         self.changed.set()
 
     def digest(self) -> Digest:
-        """Return what this process tells its peers now."""
+        """Return this process's digest for its peers."""
         return Digest(
             sender=self.cfg.name,
             incarnation=self.incarnation,
@@ -412,12 +416,12 @@
         )
 
     def apply_reply(self, reply: DigestReply) -> None:
-        """Take in a newer configuration that a peer holds."""
+        """Apply a newer configuration received from a peer."""
         if self.watcher.offer(reply.config):
             self._apply_config()
 
     def answer_digest(self, asked: Digest) -> DigestReply:
-        """Return the configuration and the endpoints that the asker lacks."""
+        """Return the configuration and endpoint sets that the sender lacks."""
         self.peers.record_digest(asked)
         newer = self.watcher.version > asked.config_version
         sets = tuple(each for each in self._own_sets() if _is_missing(asked, each))
@@ -449,7 +453,7 @@
 
 
 def _placeholder_host(name: str, data_centre: str) -> HostEntry:
-    """Return an entry for a worker that has work but is on no list yet."""
+    """Return a host entry for a worker with tasks that is not listed yet."""
     return HostEntry(
         name=name,
         url="",
--- a/cranberrycleat/scheduler_api.py
+++ b/cranberrycleat/scheduler_api.py
@@ -1,7 +1,7 @@
-"""The scheduler's HTTP interface: operators' requests, digests, dumps.
+"""The scheduler's HTTP interface: operators' requests, digests, state dumps.
 
-Each handler decodes one message, calls the scheduler, and encodes the answer.
-Refusals travel as `ProblemError` and become problem documents in `serve`.
+Each handler decodes one message, calls the scheduler, and encodes the response.
+Errors are raised as `ProblemError`, which `serve` turns into problem documents.
 """
 
 from typing import Any
@@ -83,11 +83,11 @@
 
 
 async def job_status(scheduler: Scheduler, name: str) -> JobStatus:
-    """Return what the table has of a job.
+    """Return a job's status as stored in the table.
 
     Raises:
         ProblemError: No such job.
-        TableUnavailable: The table gave no answer.
+        TableUnavailable: The table did not reply.
     """
     found = await scheduler.acceptance.find(name)
     keys = tuple(job_key(each, name) for each in found.data_centres)
@@ -135,7 +135,7 @@
 
 
 def worker_list(scheduler: Scheduler) -> WorkerList:
-    """Return the workers of the shard that this process owns, if any."""
+    """Return the workers of the shard that this process owns, or an empty list."""
     workers = scheduler.shard.inventory.workers.values() if scheduler.shard else ()
     return WorkerList(
         data_centre=scheduler.cfg.data_centre,
@@ -207,7 +207,7 @@
 
 
 def scheduler_status(scheduler: Scheduler) -> SchedulerStatus:
-    """Return the scheduler in a few numbers."""
+    """Return a summary of the scheduler's state."""
     jobs = scheduler.shard.jobs.values() if scheduler.shard else ()
     states = [record.state for job in jobs for record in job.tasks]
     return SchedulerStatus(
@@ -224,7 +224,7 @@
 
 
 def scheduler_dump(scheduler: Scheduler) -> dict[str, Any]:
-    """Return everything that the scheduler holds, for people."""
+    """Return the scheduler's state for debugging."""
     shard = scheduler.shard
     return {
         "status": scheduler_status(scheduler),
--- a/cranberrycleat/shard.py
+++ b/cranberrycleat/shard.py
@@ -1,12 +1,12 @@
-"""The state of one shard, as its owner holds it in memory.
+"""In-memory state of one shard, held by the shard's owner.
 
-Invariant: what this module changes in memory is written to the table before
-anybody acts on it. Every change marks its job dirty; `dirty_puts` gives the
-rows to write; only after the write has been confirmed does the owner order a
-start (`orders`) or tell a worker that an outcome is settled.
+Invariant: changes made here are written to the table before anything acts on
+them. Every change marks its job dirty and `dirty_puts` returns the rows to write.
+Only after the write has been confirmed does the owner order a start (`orders`) or
+acknowledge an outcome to a worker.
 
-A task is counted on its worker until the worker's own word, or the end of
-every lease that could have been granted, proves that it is gone.
+A task stays allocated on its worker until the worker's own report, or the expiry
+of every lease that could have been granted, proves that it is gone.
 """
 
 from collections.abc import Callable, Iterable
@@ -45,18 +45,19 @@
 from cranberrycleat.table import Put, Row
 
 STABLE_AFTER_S: Final = 1.0
-"""An attempt that has run for so long is not what crashed its worker."""
+"""An attempt that has run for this long is not considered to crash its worker."""
 MAX_WORKER_CRASHES: Final = 5
-"""Workers in a row that a task may crash just after it has begun. One is no evidence,
-since all that had begun there is lost with it."""
+"""Consecutive workers that may be lost just after a task started before the task is
+failed. A single loss is no evidence, since every task just started on that worker is
+lost with it."""
 
 
 @attrs.define(kw_only=True)
 class WorkerRow:
-    """The durable part of what a shard knows of a worker.
+    """The persisted state of a worker.
 
     Attributes:
-        labels: Labels that operators set or, with None, removed.
+        labels: Labels that operators set or, if None, removed.
     """
 
     labels: dict[str, str | None] = attrs.field(factory=dict)
@@ -64,16 +65,16 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ActiveTask:
-    """What the owner knows of a placed task beyond its record.
+    """In-memory state of a placed task, in addition to its persisted record.
 
     Attributes:
-        durable: Whether the table has the placement.
-        url: Where it answers, once it runs.
-        running: Whether its worker said that it runs.
-        since: When its worker said so first, on the shard's clock.
-        stopping: Whether it is to be stopped.
-        how: How it is to give way.
-        needs: What the book counts it with.
+        durable: Whether the placement is stored in the table.
+        url: Its endpoint's URL, once it runs.
+        running: Whether its worker reported it as running.
+        since: When its worker first did so, on the shard's clock.
+        stopping: Whether it is to be stopped or preempted.
+        how: How it is to be preempted.
+        needs: The resources allocated for it.
     """
 
     durable: bool = False
@@ -87,7 +88,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Shard:
-    """One shard's jobs, workers and placements; `now` is its steady clock."""
+    """One shard's jobs, workers and placements; `now` is a monotonic clock."""
 
     data_centre: str
     now: Callable[[], float] = attrs.field(factory=lambda: MonotonicClock().now)
@@ -113,7 +114,7 @@
     # --- loading ------------------------------------------------------------
 
     def load(self, rows: Iterable[Row]) -> None:
-        """Take in the shard's rows at takeover."""
+        """Load the shard's rows at takeover."""
         for row in rows:
             part = row.key.split("/")[2]
             if part == "job":
@@ -141,7 +142,7 @@
         self._add_team_usage(job, job.spec.needs)
 
     def _placeholder_worker(self, name: str) -> InventoryWorker:
-        """Return a worker that has work but that no list names yet."""
+        """Return a placeholder for a worker with tasks that is not listed yet."""
         return InventoryWorker(
             name=name,
             data_centre=self.data_centre,
@@ -154,7 +155,7 @@
     # --- workers ------------------------------------------------------------
 
     def update_hosts(self, entries: Iterable[HostEntry]) -> tuple[HostEntry, ...]:
-        """Take in the platform's list; return the workers that are new."""
+        """Apply the platform's host list; return the workers that are new."""
         added = []
         for entry in entries:
             if entry.data_centre != self.data_centre:
@@ -186,7 +187,7 @@
         self.planner.total_capacity = self.planner.total_capacity.plus(entry.capacity)
 
     def forget_worker(self, name: str) -> None:
-        """Forget a worker that is gone and has no tasks."""
+        """Remove a worker that is gone and has no tasks."""
         worker = self.inventory.workers[name]
         self.inventory.remove_worker(name)
         self.hosts.pop(name, None)
@@ -203,38 +204,38 @@
         return {key: value for key, value in labels.items() if value is not None}
 
     def worker_responded(self, name: str) -> None:
-        """Note that a worker has answered, so that it may draw work."""
+        """Record that a worker responded, so that it may be given tasks."""
         worker = self.inventory.workers[name]
         if worker.state is WorkerState.SILENT:
             worker.state = WorkerState.LIVE
             self.endpoint_revision += 1
 
     def worker_silent(self, name: str) -> None:
-        """Note that a worker does not answer; what it runs stays counted."""
+        """Record that a worker does not respond; its tasks stay allocated."""
         worker = self.inventory.workers[name]
         if worker.state is not WorkerState.SILENT:
             worker.state = WorkerState.SILENT
             self.endpoint_revision += 1
 
     def worker_leaving(self, name: str) -> None:
-        """Note that a worker is leaving: it draws no more work."""
+        """Record that a worker is leaving: it is given no more tasks."""
         worker = self.inventory.workers.get(name)
         if worker is not None and worker.state is not WorkerState.LEAVING:
             worker.state = WorkerState.LEAVING
             self.endpoint_revision += 1
 
     def evacuate(self, name: str) -> None:
-        """Stop the services on a leaving worker, so that they can go elsewhere."""
+        """Stop the services on a leaving worker, so that they are placed elsewhere."""
         for task in self.inventory.workers[name].tasks:
             if self.jobs[job_of(task)].spec.kind is Kind.SERVICE:
                 self.active[task].stopping = True
 
     def expire_leases(self, name: str, *, keep: bool) -> None:
-        """Give up tasks on a silent worker, all their leases having run out.
+        """Mark tasks on a silent worker as lost after their leases have expired.
 
         Args:
             name: The worker.
-            keep: Whether that is proved for tasks of `keep` jobs too.
+            keep: Whether the leases of tasks of `keep` jobs have expired as well.
         """
         for task in list(self.inventory.workers[name].tasks):
             job = self.jobs[job_of(task)]
@@ -244,7 +245,7 @@
     # --- operators' changes -------------------------------------------------
 
     def apply_change(self, entry: InboxEntry) -> None:
-        """Carry out an accepted change; taking one twice changes nothing."""
+        """Apply an accepted change; idempotent."""
         match entry:
             case InboxEntry(submit=JobPart() as part):
                 self._submit(part)
@@ -288,17 +289,17 @@
             self._retry_unplaceable()
 
     def _retry_unplaceable(self) -> None:
-        """Labels changed: what fitted nowhere may now fit."""
+        """After a label change, retry tasks that no worker could run before."""
         for job in self.jobs.values():
             for record in job.tasks:
                 if record.state is TaskState.NEVER:
                     record.state = TaskState.PENDING
                     self._mark_dirty(job)
 
-    # --- what workers say ---------------------------------------------------
+    # --- workers' reports ---------------------------------------------------
 
     def report(self, worker: str, report: TaskReport) -> None:
-        """Take in what a worker says about one attempt."""
+        """Apply a worker's report about one attempt."""
         record = self._find_record(report.task)
         current = (
             record is not None
@@ -328,7 +329,7 @@
                 self._queue_ack(worker, report)
 
     def _report_orphaned_attempt(self, worker: str, report: TaskReport) -> None:
-        """An attempt the table does not place there: stop it, then forget it."""
+        """Stop an orphaned attempt: one not placed on the worker that reports it."""
         orphaned_attempts = self.orphaned_attempts.setdefault(worker, {})
         if report.outcome is Outcome.RUNNING:
             orphaned_attempts[report.task] = report.attempt
@@ -355,10 +356,10 @@
             self.endpoint_revision += 1
 
     def _attempt_lost(self, job: JobRow, record: TaskRecord) -> None:
-        """An attempt was lost with its worker, which it may have crashed.
+        """Handle an attempt lost with its worker, which the task may have crashed.
 
-        What had run for a while did not. Others that had just begun beside it are
-        lost with it, but not on each of several workers in a row.
+        A task that had run for a while did not crash it. Other tasks that had just
+        started on the same worker are lost too, but not on several in a row.
         """
         active = self.active[task_id(job.spec.name, record.index)]
         stable = active.running and self.now() - active.since >= STABLE_AFTER_S
@@ -369,7 +370,7 @@
         self._attempt_ended(job, record, failed=False)
 
     def _attempt_ended(self, job: JobRow, record: TaskRecord, *, failed: bool) -> None:
-        """An attempt is over without being done: try again, or give up."""
+        """Handle an attempt that ended without success: retry, or fail the task."""
         if job.cancelled:
             self._end_placement(job, record, TaskState.CANCELLED)
             return
@@ -382,7 +383,7 @@
             self._stop_members(job)
 
     def _stop_members(self, job: JobRow) -> None:
-        """One member is lost: the others stop, so that all can start together."""
+        """After one member is lost, stop the others so that all restart together."""
         for record in job.tasks:
             if record.state is TaskState.PLACED:
                 self.active[task_id(job.spec.name, record.index)].stopping = True
@@ -402,7 +403,7 @@
     # --- rounds -------------------------------------------------------------
 
     def plan(self, now: float = 0.0) -> Plan:
-        """Plan one round and note its placements, not yet durable."""
+        """Plan one round and record its placements, which are not durable yet."""
         requests = [
             request
             for name in self._jobs_with_pending
@@ -442,7 +443,7 @@
         )
 
     def _needs(self, job: JobRow) -> Amounts:
-        """What to count a task with: as learned, where some worker can hold it."""
+        """Return a task's needs: as learned if some worker can hold it, or declared."""
         declared = job.spec.needs
         learned = self.planner.history.needs(job.spec.name, declared)
         fits = any(
@@ -482,7 +483,7 @@
                 record.state = TaskState.NEVER
                 self._mark_dirty(job)
 
-    # --- writing and ordering -----------------------------------------------
+    # --- persisting and orders ----------------------------------------------
 
     def dirty_puts(self) -> tuple[Put, ...]:
         """Return the rows that changed since the last call."""
@@ -499,7 +500,7 @@
         return tuple(puts)
 
     def confirm(self, plan: Plan) -> frozenset[str]:
-        """Note that a plan is durable; return the workers with orders."""
+        """Mark a plan as durable; return the workers that have start orders."""
         for assignment in plan.assignments:
             active = self.active.get(assignment.task)
             if active is not None:
@@ -507,7 +508,7 @@
         return frozenset(each.worker for each in plan.assignments)
 
     def drop_unreported(self, worker: str, reports: Iterable[TaskReport]) -> None:
-        """A worker's full list leaves out what the table places there: it is gone."""
+        """Mark durable tasks that a worker's full task list omits as lost."""
         listed = {(each.task, each.attempt) for each in reports}
         for task in list(self.inventory.workers[worker].tasks):
             record = self.record(task)
@@ -515,11 +516,11 @@
                 self._attempt_lost(self.jobs[job_of(task)], record)
 
     def take_pending_acks(self) -> dict[str, list[AttemptRef]]:
-        """Return outcomes taken in since the last call, by worker."""
+        """Return the outcomes recorded since the last call, by worker."""
         marks, self.pending_acks = self.pending_acks, {}
         return marks
 
-    # --- small helpers ------------------------------------------------------
+    # --- helpers ------------------------------------------------------------
 
     def _mark_dirty(self, job: JobRow) -> None:
         self._dirty.add(job.spec.name)
@@ -550,7 +551,7 @@
         team.used = team.used.plus(needs)
 
     def record_finished(self, now: float) -> None:
-        """Note when the jobs that have ended were first seen to have."""
+        """Record when jobs were first observed to have ended."""
         for name in self._changed_jobs:
             job = self.jobs.get(name)
             if job and all(each.state in FINAL_STATES for each in job.tasks):
@@ -558,7 +559,7 @@
         self._changed_jobs.clear()
 
     def remove_finished(self, before: float) -> tuple[str, ...]:
-        """Forget jobs that ended before a time; return their rows' keys."""
+        """Remove jobs that ended before a time; return their rows' keys."""
         old = [name for name, at in self._ended_at.items() if at < before]
         for name in old:
             del self._ended_at[name]
--- a/cranberrycleat/slots.py
+++ b/cranberrycleat/slots.py
@@ -1,10 +1,10 @@
 """Slot shares: how many of an endpoint's slots one gateway may use.
 
-Gateways don't ask each other before each request. They split an endpoint's
-slots by the list of live gateways that each has: the shares of one list add up
-to the slots, whoever computes them. Lists that differ for a moment may add up
-to more; the endpoint then refuses, and `SlotShare` learns from the refusals.
-The part is importable on its own and needs neither clock nor table.
+Gateways do not coordinate per request. Each divides an endpoint's slots by its own
+list of live gateways; for the same list the shares add up to the slots, whichever
+gateway computes them. While lists differ the sum may be larger; the endpoint then
+refuses requests, and `SlotShare` adapts to the refusals. This module can be imported
+on its own and needs neither clock nor table.
 """
 
 import hashlib
@@ -13,7 +13,7 @@
 import attrs
 
 MIN_ALLOWED: Final = 1
-"""A gateway may always try one request, or it would never learn of room."""
+"""A gateway may always send one request, or it would never detect free slots."""
 
 
 def slot_share(
@@ -23,9 +23,9 @@
 
     Args:
         slots: The endpoint's slots.
-        members: The names of the live gateways, this one among them.
-        me: This gateway's name.
-        endpoint: The endpoint, which decides who gets a slot that is left over.
+        members: The names of the live gateways, including this one.
+        gateway_name: This gateway's name.
+        endpoint: The endpoint; it determines which gateways get the remaining slots.
     """
     whole, left = divmod(slots, len(members))
     ranked = sorted(members, key=lambda name: _rendezvous_hash(endpoint, name))
@@ -34,18 +34,18 @@
 
 
 def _rendezvous_hash(endpoint: str, member: str) -> bytes:
-    """Rendezvous hashing: each endpoint ranks the gateways in its own order."""
+    """Rendezvous hashing: each endpoint ranks the gateways in a different order."""
     return hashlib.blake2b(f"{endpoint} {member}".encode(), digest_size=8).digest()
 
 
 @attrs.define(kw_only=True)
 class SlotShare:
-    """What one gateway may have in flight at one endpoint.
+    """Limit on one gateway's requests in flight at one endpoint.
 
     Attributes:
-        share: Its share by the list of gateways.
-        allowed: What it allows itself, lowered by refusals.
-        in_flight: What it has in flight.
+        share: The gateway's share according to its list of gateways.
+        allowed: The current limit, reduced by refusals.
+        in_flight: Requests currently in flight.
     """
 
     share: int
@@ -55,20 +55,20 @@
     in_flight: int = 0
 
     def resize(self, share: int) -> None:
-        """Take a new share, after the list of gateways changed."""
+        """Set a new share after the list of gateways changed."""
         if share != self.share:
             self.share = share
             self.allowed = float(share)
 
     def has_room(self) -> bool:
-        """Tell whether one more request may be sent."""
+        """Return whether one more request may be sent."""
         return self.in_flight < int(self.allowed)
 
     def answered(self) -> None:
-        """Note an answer: after as many as are allowed, one more is."""
+        """Record a response; `allowed` responses raise the limit by about one."""
         if self.allowed < self.share:
             self.allowed = min(float(self.share), self.allowed + 1 / self.allowed)
 
     def refused(self) -> None:
-        """Note a refusal for want of a slot: allow one less."""
+        """Record a refusal for lack of a slot, which lowers the limit by one."""
         self.allowed = max(float(MIN_ALLOWED), self.allowed - 1)
--- a/cranberrycleat/writer.py
+++ b/cranberrycleat/writer.py
@@ -1,12 +1,12 @@
-"""The grouped writer: many small conditional writes in few transactions.
+"""Batching writer: many small conditional writes in few transactions.
 
-Changes that arrive within a short time go out as one transaction. A change
-whose conditions fail is taken out and the rest is sent again. A transaction
-without an answer is sent again unchanged: its conditions let at most one copy
-take effect, and reading the rows back tells whether an earlier copy did, since
-every value that is written is unique to its writer.
+Changes that arrive within a short window are sent as one transaction. Changes
+whose condition fails are removed from the batch and the rest is resent. A
+transaction without a reply is resent unchanged: its conditions let at most one
+copy commit, and reading the rows back shows whether an earlier copy did, since
+every written value is unique to its writer.
 
-The part is importable on its own; it needs a `Table`.
+This module can be imported on its own; it needs a `Table`.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 MAX_BATCH_CHANGES: Final = 128
 MAX_ATTEMPTS: Final = 3
 FAILURE_BACKOFF_S: Final = 1.0
-"""How long nothing new is tried after the table gave no answer, in seconds."""
+"""After the table did not reply, new changes are refused for this long."""
 
 
 @attrs.frozen(kw_only=True)
@@ -31,7 +31,7 @@
 
     Attributes:
         check: The row's condition.
-        put: The same row's new value, unlike any other writer's.
+        put: The same row's new value, different from any other writer's.
     """
 
     check: Check
@@ -40,26 +40,26 @@
 
 @attrs.frozen(kw_only=True)
 class Committed:
-    """The change took effect; the row now has this version."""
+    """The change was committed; the row now has this version."""
 
     version: int
 
 
 @attrs.frozen(kw_only=True)
 class Conflicted:
-    """The condition did not hold; the row that is there, if any."""
+    """The condition failed; `row` is the existing row, if any."""
 
     row: Row | None
 
 
 @attrs.frozen(kw_only=True)
 class OutcomeUnknown:
-    """No answer; the change may have taken effect, or may yet."""
+    """No reply; the change may have been committed or may still be."""
 
 
 @attrs.frozen(kw_only=True)
 class NotAttempted(OutcomeUnknown):
-    """No answer to others lately, so that this change was not even sent."""
+    """Not sent, because the table recently did not reply to other changes."""
 
 
 WriteResult = Committed | Conflicted | OutcomeUnknown
@@ -73,15 +73,16 @@
 
 @attrs.define(kw_only=True, eq=False)
 class BatchingWriter:
-    """Groups changes from many tasks into transactions.
+    """Batches changes from many tasks into transactions.
 
     Attributes:
         table: The table to write to.
-        gather_s: How long changes are gathered before a transaction leaves.
-        most: How many changes one transaction holds, a check and a put each.
-        most_bytes: How many bytes of values it holds, unless one alone has more.
-        transactions: How many transactions were sent.
-        clock: Where it gets the time from.
+        batch_window_s: How long changes are collected before a transaction is sent.
+        max_changes: Maximum changes per transaction, with one check and one put each.
+        max_bytes: Maximum bytes of values per transaction, unless a single value is
+            larger.
+        transactions: Number of transactions sent.
+        clock: The time source.
     """
 
     table: Table
@@ -95,10 +96,10 @@
     _failed_at: float = float("-inf")
 
     async def write(self, change: Change) -> WriteResult:
-        """Make one change, together with whatever else is waiting.
+        """Write one change, batched with whatever else is queued.
 
-        For a short while after the table gave no answer, changes are not even
-        tried: who asks then is told at once instead of waiting as well.
+        For `FAILURE_BACKOFF_S` after the table did not reply, changes are not sent:
+        callers get `NotAttempted` immediately instead of waiting for another timeout.
         """
         if self.clock.now() - self._failed_at < FAILURE_BACKOFF_S:
             return NotAttempted()
@@ -114,7 +115,7 @@
             await self._send(self._next_batch())
 
     def _next_batch(self) -> list[_QueuedChange]:
-        """Take the next changes, no two of the same row."""
+        """Dequeue the next batch, with at most one change per row."""
         batch: list[_QueuedChange] = []
         left: list[_QueuedChange] = []
         keys: set[str] = set()
@@ -147,7 +148,7 @@
                     return
 
     async def _send_once(self, batch: list[_QueuedChange]) -> list[_QueuedChange]:
-        """Send one transaction; return the changes to be sent again."""
+        """Send one transaction; return the changes to be resent."""
         self.transactions += 1
         reply = await self.table.commit(
             Transaction(
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces: a table that delays, a worker without HTTP."""
+"""Test doubles: a table that delays commits, a worker without HTTP, endpoints."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -19,18 +19,18 @@
 
 
 def run_async(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end."""
+    """Run a coroutine to completion."""
     return asyncio.run(work)
 
 
 @attrs.define(kw_only=True, eq=False)
 class DelayedTable:
-    """A table whose commits can be held back and land later, or never.
+    """A table whose commits can be delayed and delivered later, or never.
 
     Attributes:
-        inner: The table behind it.
-        hold: Whether commits are held back; their sender gets no answer.
-        held: The commits held back.
+        inner: The underlying table.
+        delay_commits: Whether commits are delayed; the sender gets no reply.
+        held: The delayed commits.
     """
 
     inner: MemoryTable = attrs.field(factory=MemoryTable)
@@ -38,22 +38,22 @@
     held: list[Transaction] = attrs.field(factory=list)
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Read through."""
+        """Read from the underlying table."""
         return await self.inner.read(keys=keys)
 
     async def scan(self, *, prefix: str) -> tuple[Row, ...]:
-        """Scan through."""
+        """Scan the underlying table."""
         return await self.inner.scan(prefix=prefix)
 
     async def commit(self, txn: Transaction) -> CommitReply:
-        """Commit through, or hold the transaction back."""
+        """Commit to the underlying table, or delay the transaction."""
         if self.delay_commits:
             self.held.append(txn)
             raise errors.TableUnavailable("held back")
         return await self.inner.commit(txn)
 
     def deliver(self) -> None:
-        """Let every commit that was held back arrive now."""
+        """Deliver every delayed commit now."""
         for txn in self.held:
             self.inner.apply(txn)
         self.held.clear()
@@ -77,9 +77,9 @@
 
     Attributes:
         standin: The worker.
-        cut: Whether orders and answers are lost on the way.
-        late: Orders that were caught on the way, to be delivered later.
-        catch: Whether orders are caught on the way.
+        disconnected: Whether orders are lost before they reach the worker.
+        late: Intercepted orders, for the test to deliver later.
+        intercept: Whether orders are intercepted before they reach the worker.
     """
 
     standin: WorkerStandin
@@ -88,7 +88,7 @@
     late: list[SyncOrder] = attrs.field(factory=list)
 
     async def sync(self, order: SyncOrder) -> SyncReply:
-        """Hand the order over, unless the link is cut."""
+        """Deliver the order, unless disconnected or intercepting."""
         if self.intercept:
             self.late.append(order)
         if self.disconnected or self.intercept:
@@ -96,11 +96,11 @@
         return self.standin.apply_orders(order)
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing."""
 
 
 def direct_worker(clock: ManualClock, name: str = "w1") -> DirectWorker:
-    """Return a client of a fresh stand-in on the given clock."""
+    """Return a client of a new stand-in that uses the given clock."""
     standin = WorkerStandin(
         entry=host(name), host="127.0.0.1", port=0, platform_url="", clock=clock
     )
@@ -109,11 +109,11 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ScriptedEndpoint:
-    """An endpoint that answers by a script: one word a request, the last repeats.
+    """An endpoint that follows a script of one word per request; the last repeats.
 
-    `ok` answers; `close` reads the request and closes; `partial` sends part of
-    an answer and closes; `refuse` refuses before it starts; `slow` answers
-    after half a second; `leave` answers and says that it is leaving.
+    `ok` responds; `close` reads the request and closes the connection; `partial`
+    sends part of a response and closes; `refuse` refuses before it starts; `slow`
+    responds after 0.5 s; `leave` responds and reports that it is leaving.
     """
 
     script: list[str]
@@ -122,18 +122,18 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> "ScriptedEndpoint":
-        """Begin to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     @property
     def url(self) -> str:
-        """The base URL it answers at."""
+        """The base URL of the endpoint."""
         return f"http://127.0.0.1:{self.port}"
 
     async def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         assert self._server is not None
         self._server.close()
 
@@ -171,17 +171,17 @@
 
 @attrs.define(kw_only=True, eq=False)
 class MemoryPlatform(MemoryTable):
-    """The stand-in table as a platform client, without HTTP."""
+    """The in-memory table as a platform client, without HTTP."""
 
     async def hosts(self) -> HostList:
         """Return an empty list."""
         return HostList(hosts=())
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing."""
 
 
 @register(PluginKind.TABLE, "memory")
 def memory_platform(*, url: str, timeout_s: float) -> MemoryPlatform:
-    """Return a platform client of its own."""
+    """Return a new platform client with its own table."""
     return MemoryPlatform()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,6 +1,6 @@
-"""Real processes under failure: killed, frozen, cut, without the platform.
+"""Real processes under failure: killed, frozen, partitioned, without the platform.
 
-Every test ends with the audit of the workers' own records (`audit`).
+Tests end with an audit of the workers' own records (`audit`).
 """
 
 import secrets
@@ -21,9 +21,9 @@
 from tests.relay import Relay
 
 LONG_WORKER_LEASE_S: Final = 20.0
-"""The product's own default."""
+"""The scheduler's own default."""
 SHORT_WORKER_LEASE_S: Final = 3.0
-"""What `Fleet.scheduler` grants unless it is told otherwise."""
+"""The default of `Fleet.scheduler`."""
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -36,11 +36,11 @@
     results: list[CallResult] = attrs.field(factory=list)
 
     def get(self, program: ProgramProcess, path: str) -> Any:
-        """Ask a program for something."""
+        """Send a GET request to a program; return the decoded JSON."""
         return httpx.get(program.url + path, trust_env=False, timeout=10).json()
 
     def faults(self, program: ProgramProcess, **faults: Any) -> None:
-        """Set a stand-in's faults."""
+        """Set the faults that a stand-in injects."""
         url = program.url + "/v1/faults"
         httpx.post(url, json=faults, trust_env=False, timeout=10)
 
@@ -64,14 +64,14 @@
         return [(t["state"], t["attempt"], t["worker"]) for t in found.get("tasks", ())]
 
     def wait_placed(self, scheduler: ProgramProcess, name: str) -> None:
-        """Wait until every task of a job has a place."""
+        """Wait until every task of a job is placed."""
         wait_until(
             lambda: {t[0] for t in self.tasks(scheduler, name)} == {"placed"},
             description=f"{name} placed",
         )
 
     def wait_live(self, scheduler: ProgramProcess, count: int) -> None:
-        """Wait until a scheduler owns its shard and knows its workers."""
+        """Wait until a scheduler owns its shard and `count` workers are live."""
 
         def live() -> bool:
             found = self.get(scheduler, "/v1/workers")["workers"]
@@ -80,7 +80,7 @@
         wait_until(live, description=f"{count} live workers")
 
     def wait_endpoints(self, gateway: ProgramProcess, service: str, count: int) -> None:
-        """Wait until a gateway knows so many endpoints that are not leaving."""
+        """Wait until a gateway knows `count` endpoints that are not leaving."""
 
         def known() -> bool:
             found = self.get(gateway, "/v1/dump")["services"].get(service, [])
@@ -89,7 +89,7 @@
         wait_until(known, description=f"{count} endpoints of {service}")
 
     def owner(self, scheduler: ProgramProcess) -> bool:
-        """Tell whether a scheduler owns the shard now."""
+        """Return whether a scheduler owns the shard now."""
         return bool(self.get(scheduler, "/v1/status")["owner"])
 
     def call(
@@ -99,7 +99,7 @@
         method: str = "GET",
         key: str | None = None,
     ) -> CallResult:
-        """Call service `s`, and note what was told."""
+        """Call service `s`, and record the outcome that the caller was given."""
         ident = secrets.token_hex(8)
         headers = {"x-request-id": ident} | ({"idempotency-key": key} if key else {})
         try:
@@ -144,7 +144,7 @@
         return codec.decode(raw, WorkerRecord)
 
     def audit(self) -> None:
-        """Judge the run by the workers' own records."""
+        """Check the run against the workers' own records."""
         records = [self.record(each) for each in self.workers]
         assert audit(records, self.results) == ()
 
@@ -164,7 +164,7 @@
 
 
 def test_frozen_owner_resumes_after_lease_expiry(cluster: Cluster) -> None:
-    """The successor goes on; the one that wakes gives no order any more."""
+    """The successor continues; the previous owner sends no order after it resumes."""
     first = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(first, 2)
     cluster.submit(first, "s", tasks=2)
@@ -186,10 +186,10 @@
 
 @pytest.mark.parametrize("pause_s", [0.0, 3.5], ids=["at once", "late"])
 def test_killed_owner_is_replaced(cluster: Cluster, pause_s: float) -> None:
-    """A new owner adopts what runs, without stopping or moving it.
+    """A new owner adopts running tasks without stopping or moving them.
 
-    Its process has to start first, which took 1.4 s up to the takeover on an idle
-    machine and longer than `SHORT_LEASE_S` on a busy one; so the leases are long.
+    The time from its process's start to the takeover was 1.4 s on an idle machine and
+    exceeded `SHORT_WORKER_LEASE_S` on a busy one, so the test uses long leases.
     """
     lease = ("--worker-lease-s", str(LONG_WORKER_LEASE_S))
     first = cluster.fleet.scheduler("s1", cluster.platform, *lease)
@@ -210,7 +210,7 @@
 
 
 def test_owner_after_lease_expiry_places_tasks_again(cluster: Cluster) -> None:
-    """What nobody renewed is over; it starts anew, in one place at a time."""
+    """Tasks whose leases nobody renewed are restarted, on one worker at a time."""
     first = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(first, 2)
     cluster.submit(first, "s", tasks=2)
@@ -229,7 +229,7 @@
 
 
 def test_frozen_worker_resumes_after_lease_expiry(cluster: Cluster) -> None:
-    """Its tasks are placed elsewhere, and it runs none of them when it wakes."""
+    """Its tasks are placed elsewhere, and it runs none of them after it resumes."""
     scheduler = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(scheduler, 2)
     cluster.submit(scheduler, "s", tasks=2, slots=4)
@@ -245,7 +245,7 @@
 
 
 def test_platform_outage(cluster: Cluster) -> None:
-    """What runs goes on and is served; what needs the table is refused at once."""
+    """Running services stay available; what needs the table is refused immediately."""
     scheduler = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(scheduler, 2)
     cluster.submit(scheduler, "s", tasks=2)
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("lost", [1, 2, 5])
 def test_lost_replies(cluster: Cluster, lost: int) -> None:
-    """Writes that took effect unanswered are neither lost nor done twice."""
+    """Writes that committed without a reply are neither lost nor repeated."""
     scheduler = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(scheduler, 2)
     cluster.faults(cluster.platform, lose_replies=lost)
@@ -302,7 +302,7 @@
 
 
 def test_owner_partitioned_from_platform(cluster: Cluster) -> None:
-    """The successor fences off the one that is cut off and still alive."""
+    """The successor fences off an owner that is partitioned but still alive."""
     port = int(cluster.platform.url.rsplit(":", 1)[1])
     relay = Relay(target=("127.0.0.1", port))
     first = cluster.fleet.scheduler("s1", cluster.platform, "--platform", relay.url)
@@ -326,7 +326,7 @@
 
 
 def test_outage_and_frozen_owner_together(cluster: Cluster) -> None:
-    """Two faults at once: nobody takes over what cannot be known to be free."""
+    """With both faults at once, nobody takes over a lease not known to be free."""
     first = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(first, 2)
     cluster.submit(first, "s", tasks=2)
@@ -373,7 +373,7 @@
 
 @pytest.mark.parametrize("part", ["gateway", "worker", "scheduler"])
 def test_graceful_shutdown(cluster: Cluster, part: str) -> None:
-    """No request in flight is interrupted, whichever part shuts down."""
+    """No request in flight is interrupted, whichever component shuts down."""
     scheduler = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(scheduler, 2)
     cluster.submit(scheduler, "s", tasks=2)
@@ -396,7 +396,7 @@
 
 
 def test_leaving_worker(cluster: Cluster) -> None:
-    """Its endpoints get no new work, from its own word and without the list."""
+    """A worker's own report is enough for its endpoints to get no new requests."""
     scheduler = cluster.fleet.scheduler("s1", cluster.platform)
     cluster.wait_live(scheduler, 2)
     cluster.submit(scheduler, "s", tasks=2, slots=4)
@@ -416,7 +416,7 @@
 
 
 def test_sighup_terminates_no_process() -> None:
-    """SIGHUP says that settings may have changed; its default would be the end."""
+    """SIGHUP means that settings may have changed; its default action would kill."""
     with Fleet() as fleet:
         platform = fleet.platform()
         scheduler = fleet.scheduler("s1", platform)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway against endpoints that misbehave: outcomes, retries, limits."""
+"""The gateway with misbehaving endpoints: outcomes, retries, limits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,11 +28,11 @@
 assert plugins
 
 HANG_TIMEOUT_S = 20.0
-"""What takes longer than this hangs; nothing is measured by it."""
+"""An operation that takes longer counts as hanging; not a performance limit."""
 
 
 def make_gateway(name: str = "g1") -> Gateway:
-    """Return a gateway that listens nowhere."""
+    """Return a gateway without a listening server."""
     cfg = GatewayOptions(
         name=name,
         data_centre="dc-a",
@@ -75,7 +75,7 @@
     key: str | None = None,
     wait_s: float = 0.3,
 ) -> str:
-    """Ask the gateway; return `ok`, `wrong` or the refusal's code."""
+    """Send a request through the gateway; return `ok`, `wrong` or the error code."""
     req = request(method, ident)
     if key is not None:
         req = attrs.evolve(req, repeatable=False)
@@ -92,7 +92,7 @@
     scripts: list[list[str]],
     work: Callable[[Gateway, list[ScriptedEndpoint]], Awaitable[None]],
 ) -> None:
-    """Run something against a gateway with scripted endpoints."""
+    """Run `work` with a gateway and scripted endpoints."""
 
     async def scenario() -> None:
         points = [await ScriptedEndpoint(script=each).start() for each in scripts]
@@ -107,7 +107,7 @@
 
 
 CASES = [
-    # method, scripts of two endpoints, what is told, how often it was sent
+    # method, scripts of two endpoints, result for the caller, number of sends
     ("GET", ["ok"], ["ok"], "ok", 1),
     ("GET", ["close"], ["ok"], "ok", 2),
     ("GET", ["partial"], ["ok"], "ok", 2),
@@ -125,7 +125,7 @@
 def test_outcome(
     method: str, first: list[str], second: list[str], told: str, sent: int
 ) -> None:
-    """What is told is what is known; only what did not run is sent again."""
+    """Callers get the known outcome; only requests that did not run are resent."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         assert await send_request(gateway, method) == told
@@ -135,7 +135,7 @@
 
 
 def test_refused_connection_proves_not_run() -> None:
-    """A connection that was never made is proof that nothing ran."""
+    """If no connection was made, the request is proved not to have run."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         await points[0].stop()
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_reused_connection_that_closes(method: str) -> None:
-    """An idle connection's close costs no request its certain outcome."""
+    """The close of an idle connection leaves no request with an unknown outcome."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         assert await send_request(gateway, "GET", "first") == "ok"
@@ -160,7 +160,7 @@
 
 
 def test_late_answer_is_not_delivered_to_next_caller() -> None:
-    """An answer that comes after its caller gave up is not the next caller's."""
+    """A response that arrives after its caller timed out reaches no later caller."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         assert (
@@ -176,7 +176,7 @@
 
 
 def test_caller_disconnect_frees_its_slot() -> None:
-    """A caller that goes away frees its slot, and its answer reaches nobody."""
+    """A disconnected caller's slot is freed, and its response reaches nobody else."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         gone = asyncio.create_task(send_request(gateway, "GET", "gone", wait_s=5))
@@ -193,7 +193,7 @@
 
 
 def test_many_answers_out_of_order() -> None:
-    """Answers that overtake each other reach their own callers."""
+    """Responses that overtake each other reach the right callers."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         asked = [send_request(gateway, "GET", f"id{n}", wait_s=9) for n in range(16)]
@@ -203,7 +203,7 @@
 
 
 def test_key_runs_at_most_once_through_any_gateway() -> None:
-    """Two gateways with one table: one sends, whatever the first one's fate."""
+    """Of two gateways with one table only one sends, whatever its attempt's outcome."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         other = make_gateway("g2")
@@ -226,7 +226,7 @@
 def test_idempotency_key_during_table_outage(
     down: bool, lose: int, told: str, sent: int
 ) -> None:
-    """No table, no claim, not run; a claim whose reply was lost is settled."""
+    """Without the table nothing is run; a claim with a lost reply is resolved."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         table = gateway.platform
@@ -239,7 +239,7 @@
 
 
 def test_claim_wait_is_bounded_when_table_hangs() -> None:
-    """The wait for a claim is bounded, and nothing is sent without one."""
+    """The wait for a claim is bounded, and nothing is sent without a claim."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         table = gateway.platform
@@ -254,7 +254,7 @@
 
 @pytest.mark.parametrize("source", ["answer", "peer", "scheduler"])
 def test_leaving_endpoint_gets_no_new_requests(source: str) -> None:
-    """The first sign from any source is enough, and no older set undoes it."""
+    """The first report from any source is enough, and no endpoint set reverts it."""
 
     async def work(gateway: Gateway, points: list[ScriptedEndpoint]) -> None:
         first, second = points
@@ -298,7 +298,7 @@
 
 
 def test_retry_budget_bounds_retries() -> None:
-    """When everything fails, retries are a share of answers and a small burst."""
+    """If everything fails, retries are limited to a share of responses and a burst."""
     budget = RetryBudget(share=0.1)
     assert sum(budget.withdraw() for _ in range(1000)) == MAX_SAVED_RETRIES
     for _ in range(100):
@@ -308,7 +308,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 2, 3, 5, 7, 8])
 def test_shares_add_up_to_the_slots(gateways: int) -> None:
-    """The shares of one list of gateways never add up to more than there is."""
+    """The shares of one list of gateways add up to exactly the slots."""
     members = tuple(f"g{n}" for n in range(gateways))
     for point in ("a", "b", "c"):
         shares = [
@@ -321,7 +321,7 @@
 
 
 def test_share_adapts_to_refusals() -> None:
-    """Refusals lower what is allowed, answers raise it up to the share."""
+    """Refusals lower the limit; responses raise it again, up to the share."""
     share = SlotShare(share=4)
     for _ in range(9):
         share.refused()
@@ -332,7 +332,7 @@
 
 
 def service_of(count: int) -> ServiceEndpoints:
-    """Return a service with some endpoints."""
+    """Return a service with `count` local endpoints."""
     listed = endpoint_set(*[f"http://127.0.0.1:{n}" for n in range(count)]).endpoints
     return ServiceEndpoints(
         local=[EndpointState(endpoint=e, share=SlotShare(share=4)) for e in listed]
@@ -341,7 +341,7 @@
 
 @pytest.mark.parametrize(("count", "left"), [(1, 1), (2, 1), (4, 2), (5, 3)])
 def test_ejection_keeps_some_endpoints(count: int, left: int) -> None:
-    """However all endpoints fail, some go on getting work."""
+    """Even if all endpoints fail, some are not ejected."""
     service, cfg = service_of(count), RoutingConfig()
     for state in service.all() * 10:
         record_result(service, state, EndpointResult.BAD, now=1.0, cfg=cfg)
@@ -351,14 +351,14 @@
 
 @attrs.define
 class BusyController:
-    """A gate with one slot that is taken, and requests that came after."""
+    """An admission controller whose single slot is in use, and the order served."""
 
     service: ServiceEndpoints
     controller: AdmissionController
     order: list[str] = attrs.field(factory=list)
 
     async def acquire_slot(self, name: str, rank: RequestClass, wait_s: float) -> None:
-        """Go in, note it, and leave."""
+        """Acquire a slot, record it, and release it."""
         state = await self.controller.acquire_slot(
             service=self.service,
             rank=rank,
@@ -370,7 +370,7 @@
 
 
 def make_busy_controller(max_waiters: int) -> BusyController:
-    """Return a gate whose only slot is taken."""
+    """Return an admission controller whose only slot is in use."""
     service, clock = service_of(1), ManualClock()
     state = service.all()[0]
     state.share.resize(1)
@@ -395,7 +395,7 @@
     ],
 )
 def test_admission_by_class(most: int, arrivals: str, expected: str) -> None:
-    """The highest class goes first; a full queue refuses the lowest at once."""
+    """The most urgent class is served first; a full queue refuses the least urgent."""
 
     async def scenario() -> list[str]:
         waiting = make_busy_controller(most)
@@ -414,7 +414,7 @@
 
 
 def test_request_that_would_miss_its_deadline_is_refused_immediately() -> None:
-    """A request that could not be served in time is refused at once."""
+    """A request that could not be served in time is refused immediately."""
 
     async def scenario() -> None:
         waiting = make_busy_controller(9)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The ownership lease: never two with authority, whatever is lost or late."""
+"""Ownership lease: at most one valid holder despite lost replies and late writes."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 def candidate(table: DelayedTable, clock: ManualClock, name: str) -> OwnershipLease:
-    """Return one candidate's view of the lease."""
+    """Return a candidate's view of the lease."""
     return OwnershipLease(
         table=table, clock=clock, key="lease", holder=name, lease_s=LEASE_S
     )
@@ -45,13 +45,13 @@
         self.b = candidate(self.table, self.clock_b, "b")
 
     def advance(self, seconds: float) -> None:
-        """Move both clocks."""
+        """Advance both clocks."""
         self.clock_a.advance(seconds=seconds)
         self.clock_b.advance(seconds=seconds)
 
 
 def test_takeover_waits_for_lease_expiry() -> None:
-    """A candidate takes over only after the holder's lease has run out."""
+    """A candidate takes over only after the holder's lease has expired."""
     pair = CandidatePair()
     assert run_async(pair.a.acquire())
     assert not run_async(pair.b.acquire())
@@ -66,7 +66,7 @@
 
 
 def test_candidate_allows_for_clock_drift() -> None:
-    """A candidate whose clock gains does not take over too early."""
+    """A candidate whose clock runs fast does not take over too early."""
     pair = CandidatePair()
     run_async(pair.a.acquire())
     run_async(pair.b.acquire())
@@ -96,7 +96,7 @@
 
 
 def test_holder_paused_past_expiry_is_invalid() -> None:
-    """A holder that was paused past its lease has no authority when it wakes."""
+    """A holder paused past its lease's expiry finds it invalid when it resumes."""
     pair = CandidatePair()
     run_async(pair.a.acquire())
     pair.clock_a.advance(seconds=LEASE_S * 3)
@@ -104,7 +104,7 @@
 
 
 def test_released_lease_is_acquired_immediately() -> None:
-    """A released lease needs no wait, and is known not to be silent."""
+    """A released lease needs no wait, and the successor knows that it was released."""
     pair = CandidatePair()
     run_async(pair.a.acquire())
     run_async(pair.a.release())
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("lost", [1, 2])
 def test_commit_with_lost_reply_is_resolved(lost: int) -> None:
-    """A write whose reply was lost takes effect once and keeps the lease."""
+    """A write whose reply was lost commits once and renews the lease."""
     pair = CandidatePair()
     run_async(pair.a.acquire())
     changes = Changes(puts=(Put(key="row", value='"x"'),))
@@ -128,7 +128,7 @@
 
 
 def test_takeover_with_lost_reply_is_resolved() -> None:
-    """A candidate whose takeover's reply was lost learns that it won."""
+    """A candidate that lost the reply to its takeover learns that it is the holder."""
     pair = CandidatePair()
     pair.table.inner.faults.lose_replies = 1
     with pytest.raises(errors.TableUnavailable):
@@ -138,7 +138,7 @@
 
 
 def test_late_write_of_previous_holder_has_no_effect() -> None:
-    """A write that arrives after a takeover changes nothing."""
+    """A previous holder's write that arrives after a takeover has no effect."""
     pair = CandidatePair()
     run_async(pair.a.acquire())
     pair.table.delay_commits = True
@@ -153,7 +153,7 @@
 
 
 class LeaseStateMachine(RuleBasedStateMachine):
-    """Any order of steps, losses, late writes, restarts and pauses."""
+    """Random sequences of steps, lost replies, delayed writes, restarts and pauses."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -168,13 +168,13 @@
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 6.0, 10.0, 10.2]))
     def advance(self, seconds: float) -> None:
-        """Time passes; the clocks differ by half a per cent."""
+        """Advance the clocks, whose rates differ by 0.5 %."""
         for clock, rate in zip(self.clocks, (1.0, 1.005, 0.995)):
             clock.advance(seconds=seconds * rate)
 
     @rule(number=st.integers(0, 2))
     def acquire(self, number: int) -> None:
-        """One candidate looks, and takes the lease if it is free."""
+        """Let one candidate read the row and acquire the lease if it is free."""
         try:
             run_async(self.leases[number].acquire())
         except errors.TableUnavailable:
@@ -182,7 +182,7 @@
 
     @rule(number=st.integers(0, 2))
     def renew(self, number: int) -> None:
-        """One of them renews, if it thinks that it holds the lease."""
+        """Let one process renew the lease, if it believes to hold it."""
         try:
             run_async(self.leases[number].commit())
         except (errors.TableUnavailable, LeaseLost):
@@ -190,12 +190,12 @@
 
     @rule(number=st.integers(0, 2))
     def restart(self, number: int) -> None:
-        """One of them dies, and another process takes its place."""
+        """Replace one process by a new one, as after a crash and restart."""
         self.leases[number] = self._fresh(number)
 
     @rule(number=st.integers(0, 2))
     def release(self, number: int) -> None:
-        """One of them hands over, if it holds the lease."""
+        """Let one process release the lease, if it holds it."""
         try:
             run_async(self.leases[number].release())
         except (errors.TableUnavailable, LeaseLost):
@@ -203,22 +203,22 @@
 
     @rule(lost=st.integers(0, 2))
     def lose_replies(self, lost: int) -> None:
-        """The next replies are lost after the write took effect."""
+        """Lose the next replies after their writes committed."""
         self.table.inner.faults.lose_replies = lost
 
     @rule(delay_commits=st.booleans())
     def delay_commits(self, delay_commits: bool) -> None:
-        """Writes are held back on their way, or no longer."""
+        """Begin or stop delaying writes."""
         self.table.delay_commits = delay_commits
 
     @rule()
     def deliver(self) -> None:
-        """The writes that were held back arrive."""
+        """Deliver the delayed writes."""
         self.table.deliver()
 
     @invariant()
     def at_most_one_valid_lease(self) -> None:
-        """At most one process has authority, at every moment."""
+        """Check that at most one process has a valid lease."""
         assert sum(lease.is_valid() for lease in self.leases) <= 1
 
 
@@ -230,7 +230,7 @@
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_release_without_reply_is_retried(lost: int) -> None:
-    """A candidate need not wait for the lease only because replies were lost."""
+    """Lost replies to a release do not make candidates wait for the lease to expire."""
 
     async def run() -> None:
         table = MemoryTable()
@@ -257,12 +257,12 @@
         (3.0, True, False),
         (3.0, False, True),
     ],
-    ids=["looks go on", "cut off, and it renewed", "cut off, and it did not"],
+    ids=["reads continue", "isolated, holder renewed", "isolated, holder silent"],
 )
 def test_isolated_candidate_ignores_evidence_of_holder_death(
     away_s: float, renewed: bool, expected: bool
 ) -> None:
-    """Nobody listens for it because of the cut, not because the holder died."""
+    """An isolated candidate hears nothing from a holder that may still be alive."""
     pair = CandidatePair()
     run_async(pair.a.acquire())
     assert not run_async(pair.b.acquire())
@@ -275,7 +275,7 @@
 
 @attrs.define(kw_only=True)
 class SerialSlowTable(MemoryTable):
-    """Carries out one transaction after the other, each slowly."""
+    """A table that executes transactions one at a time, each slowly."""
 
     each_s: float = 0.0
     lose: int = 0
@@ -284,13 +284,13 @@
     _turn: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
     async def read(self, *, keys: tuple[str, ...]) -> tuple[Row, ...]:
-        """Read in half the time of a transaction, where reads are slow too."""
+        """Read in half the time of a transaction if reads are slow as well."""
         if self.slow_reads:
             await asyncio.sleep(self.each_s / 2)
         return await MemoryTable.read(self, keys=keys)
 
     async def commit(self, txn: Transaction) -> CommitReply:
-        """Commit in turn; some answers are lost for good."""
+        """Commit in order of arrival; the first `lose` replies never arrive."""
         self.sent += 1
         async with self._turn:
             await asyncio.sleep(self.each_s)
@@ -308,7 +308,7 @@
 
 
 def test_lost_reply_is_found_in_row_without_resending() -> None:
-    """A second copy would only wait behind the first."""
+    """The row shows the commit; a second copy would only queue behind the first."""
 
     async def run() -> None:
         table = SerialSlowTable()
@@ -322,7 +322,7 @@
 
 
 def test_slow_table_gets_one_copy_and_a_longer_lease() -> None:
-    """Candidates see a change so late that the usual length would look lapsed."""
+    """Candidates observe changes so late that the usual duration would look expired."""
 
     async def run() -> None:
         table = SerialSlowTable()
@@ -344,7 +344,7 @@
 
 
 def test_outage_does_not_extend_lease() -> None:
-    """A write that was sent again has waited for the table, not for its turn."""
+    """The time of a resent write is the length of the outage, not the table's speed."""
 
     async def run() -> None:
         table = SerialSlowTable()
@@ -365,7 +365,7 @@
 
 
 def test_delayed_write_to_responsive_table_is_resent() -> None:
-    """It is not behind anything; the copy that comes late has no effect."""
+    """The write is not queued behind anything; its late copy has no effect."""
 
     async def run() -> None:
         table = SerialSlowTable(slow_reads=False)
@@ -384,7 +384,7 @@
 
 
 def test_successor_inherits_predecessor_lease_length() -> None:
-    """Its last write may have held longer than this process would ask for."""
+    """The predecessor's last lease may be longer than this process would request."""
     pair = CandidatePair()
     pair.a.lease_s = 2.5
     run_async(pair.a.acquire())
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The examples of docs/library.md run as they stand there."""
+"""The examples in docs/library.md run unchanged."""
 
 import re
 import subprocess
@@ -16,7 +16,7 @@
 
 
 def test_every_part_has_an_example() -> None:
-    """The page has one example for each of the six parts."""
+    """The page has one example for each of the six library modules."""
     assert len(EXAMPLES) == 6
 
 
@@ -24,7 +24,7 @@
     "code", [code for _, code in EXAMPLES], ids=[title for title, _ in EXAMPLES]
 )
 def test_example(code: str) -> None:
-    """An example runs by itself and loads nothing of the daemons."""
+    """An example runs by itself and imports no daemon module."""
     loaded = "\nimport sys\nprint(*sys.modules)"
     done = subprocess.run(
         [sys.executable, "-c", code + loaded], capture_output=True, text=True
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Leases and orders between owner and worker, on clocks set by hand."""
+"""Leases and orders between owner and worker, on manual clocks."""
 
 import asyncio
 import copy
@@ -18,7 +18,7 @@
 
 LEASE_S = 10.0
 MAX_ATTEMPTS = 5
-"""Starts of a task that crashes each worker that starts it."""
+"""Starts of a task that crashes every worker that starts it."""
 TIMES = LinkTimes(lease_s=10.0, order_s=2.0, release_after_s=60.0)
 
 
@@ -33,7 +33,7 @@
     client: DirectWorker
 
     def sync(self) -> None:
-        """Give the worker one order, and look at the leases."""
+        """Sync with the worker once, and check the leases."""
         run_async(self._sync())
 
     async def _sync(self) -> None:
@@ -41,7 +41,7 @@
         self.link._check_leases()
 
     def plan_round(self) -> None:
-        """Plan a round and take it to be durable."""
+        """Plan a round and mark it as durable."""
         self.shard.confirm(self.shard.plan())
 
     def renew(self) -> None:
@@ -57,7 +57,7 @@
 def make_owner(
     table: MemoryTable, clock: ManualClock, client: DirectWorker, name: str = "a"
 ) -> Owner:
-    """Return an owner that has just won the lease."""
+    """Return an owner that has just acquired the lease."""
     lease = OwnershipLease(
         table=table, clock=clock, key="lease", holder=name, lease_s=LEASE_S
     )
@@ -82,7 +82,7 @@
 
 
 def running(kind: Kind = Kind.SERVICE) -> tuple[Owner, MemoryTable, ManualClock]:
-    """Return an owner whose one task runs on the worker."""
+    """Return an owner whose only task runs on the worker."""
     clock = ManualClock(time_s=100.0)
     client = direct_worker(ManualClock(time_s=7.0))
     table = MemoryTable()
@@ -101,14 +101,14 @@
 
 
 def runs(client: DirectWorker) -> bool:
-    """Tell whether the worker runs the task, by its own clock."""
+    """Return whether the worker runs the task, according to the worker's clock."""
     client.standin.expire()
     task = client.standin.tasks.get("job/0")
     return task is not None and task.outcome is Outcome.RUNNING
 
 
 def advance_clocks(owner: Owner, seconds: float) -> None:
-    """Let time pass for owner and worker alike."""
+    """Advance the owner's and the worker's clock."""
     owner.clock.advance(seconds=seconds)
     worker_clock = owner.client.standin.clock
     assert isinstance(worker_clock, ManualClock)
@@ -116,7 +116,7 @@
 
 
 def test_task_stops_when_its_lease_expires() -> None:
-    """A worker that nobody reaches stops its task at the end of the lease."""
+    """A worker that no owner reaches stops its task when the lease expires."""
     owner, _, _ = running()
     advance_clocks(owner, TIMES.lease_s - 0.1)
     assert runs(owner.client)
@@ -125,7 +125,7 @@
 
 
 def test_lost_worker_tasks_move_only_after_lease_expiry() -> None:
-    """A task goes elsewhere only once its worker must have stopped it."""
+    """A task is given up only once its worker must have stopped it."""
     owner, _, _ = running()
     owner.client.disconnected = True
     while owner.state()[0] is TaskState.PLACED:
@@ -137,7 +137,7 @@
 
 
 def test_expired_owner_starts_no_tasks() -> None:
-    """Without the ownership lease an owner renews but starts nothing."""
+    """Without the ownership lease an owner renews tasks but starts none."""
     owner, _, _ = running()
     for _ in range(3):
         advance_clocks(owner, 5.0)
@@ -163,7 +163,7 @@
     ],
 )
 def test_renewals_by_expired_owner(kind: Kind, lapsed_s: float, still: bool) -> None:
-    """Kept tasks are renewed for ever, others for a bounded time."""
+    """`keep` tasks are renewed indefinitely, others for a bounded time."""
     owner, _, _ = running(kind)
     advance_clocks(owner, LEASE_S - 1)
     owner.sync()
@@ -174,7 +174,7 @@
 
 
 def test_expired_order_is_rejected() -> None:
-    """A start order that was held up on its way does nothing when it arrives."""
+    """A start order that was delayed past its bound starts nothing on arrival."""
     owner, _, _ = running()
     spec = JobSpec(name="more", kind=Kind.BATCH, program=Program(run_s=1000.0))
     owner.shard.apply_change(
@@ -191,7 +191,7 @@
 
 
 def successor(owner: Owner, table: MemoryTable) -> Owner:
-    """Return a second owner, after the first fell silent towards the table."""
+    """Return a second owner, after the first stopped renewing its lease."""
     clock = ManualClock()
     watcher = OwnershipLease(
         table=table, clock=clock, key="lease", holder="b", lease_s=LEASE_S
@@ -212,7 +212,7 @@
 def make_owner_from(
     lease: OwnershipLease, clock: ManualClock, client: DirectWorker
 ) -> Owner:
-    """Return an owner around a lease that watched the first one's."""
+    """Return an owner with a given lease, which has observed the first owner's."""
     owner = make_owner(MemoryTable(), clock, client)
     assert run_async(lease.acquire())
     owner.lease = owner.link.lease = lease
@@ -225,7 +225,7 @@
 
 
 def test_worker_rejects_an_older_epoch() -> None:
-    """Once the successor has spoken, the first owner is fenced off."""
+    """Once the successor has synced with the worker, the first owner is fenced off."""
     owner, table, _ = running()
     second = successor(owner, table)
     second.sync()
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize(("kind", "freed"), [(Kind.SERVICE, False), (Kind.BATCH, True)])
 def test_successor_that_cannot_reach_the_worker(kind: Kind, freed: bool) -> None:
-    """The first owner may still renew: kept tasks stay where they are."""
+    """The first owner may still renew: only tasks that are not `keep` are given up."""
     owner, table, _ = running(kind)
     second = successor(owner, table)
     second.client.disconnected = True
@@ -253,7 +253,7 @@
 
 
 def test_operator_declares_worker_dead() -> None:
-    """An operator's word frees what no lease would."""
+    """An operator's declaration frees tasks whose leases would never expire."""
     owner, table, _ = running()
     second = successor(owner, table)
     second.client.disconnected = True
@@ -265,7 +265,7 @@
 
 
 def test_restarted_worker_has_lost_its_tasks() -> None:
-    """A new incarnation runs nothing of the old one; the next attempt follows."""
+    """A new incarnation runs none of the old one's tasks; they are started again."""
     owner, _, _ = running()
     owner.client.standin = direct_worker(ManualClock()).standin
     owner.sync()
@@ -279,10 +279,11 @@
 
 
 def test_task_that_crashes_its_worker_is_eventually_failed() -> None:
-    """Each attempt restarts its worker, which tells of no failure.
+    """Each attempt restarts its worker, which then reports no failure of the task.
 
-    The same cause as of stepped jobs (tests/test_crashing_tasks.py), in the scheduler's
-    own jobs: what is lost with a worker counts as no attempt.
+    Guards the scheduler's own jobs against the fault that tests/test_crashing_tasks.py
+    covers for stepped jobs: an attempt lost with its worker does not count as failed,
+    so the task would be retried forever.
     """
     owner, _, _ = running(Kind.BATCH)
     for _ in range(MAX_ATTEMPTS):
