--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: decisions by table, and what no sequence of events may break."""
+"""Placement: table-driven decisions, and invariants under random event sequences."""
 
 from typing import Any
 
@@ -26,7 +26,7 @@
 
 
 def worker(name: str, cpu: int = 8, rack: str = "r1", **more: Any) -> InventoryWorker:
-    """Return a worker with as many gigabytes as processors."""
+    """Return a worker with one gigabyte of memory per processor."""
     capacity = Amounts(processors=cpu * 1000, memory_mb=cpu * 1024, **more)
     return InventoryWorker(
         name=name, data_centre="dc", rack=rack, labels={"rack": rack}, capacity=capacity
@@ -36,7 +36,7 @@
 def request(
     job: str, cpu: int, count: int = 1, kind: Kind = Kind.BATCH, **more: Any
 ) -> PlacementRequest:
-    """Return an ask for tasks of so many processors."""
+    """Return a placement request for `count` tasks of `cpu` processors each."""
     given: dict[str, Any] = {"team": "t", "rank": 1, **more}
     return PlacementRequest(
         job=job,
@@ -49,7 +49,7 @@
 
 
 def planner(*workers: InventoryWorker) -> RoundPlanner:
-    """Return a planner over some workers."""
+    """Return a planner over the given workers."""
     inventory = WorkerInventory()
     total_capacity = NOTHING
     for each in workers:
@@ -59,7 +59,7 @@
 
 
 def placements(plan: Any) -> dict[str, str]:
-    """Return where a plan puts each task."""
+    """Return the worker that a plan assigns to each task."""
     return {each.task: each.worker for each in plan.assignments}
 
 
@@ -106,7 +106,7 @@
     asks: list[PlacementRequest],
     expected: dict[str, str],
 ) -> None:
-    """Who gets which place."""
+    """Each case yields exactly the expected assignments."""
     round_planner = planner(*[worker(name, cpu) for name, cpu in workers])
     assert placements(round_planner.plan(asks)) == expected
 
@@ -130,14 +130,14 @@
     ],
 )
 def test_quota(quota: float, kind: Kind, placed: int) -> None:
-    """A team gets no more than its share; a gang all or nothing of it."""
+    """A team stays within its quota; a gang is placed within it whole or not at all."""
     round_planner = planner(worker("a", 8))
     round_planner.teams["t"] = TeamUsage(quota=quota)
     assert len(round_planner.plan([request("j", 2, 4, kind)]).assignments) == placed
 
 
 def test_unsatisfiable_jobs_are_reported_with_reasons() -> None:
-    """Too large, or matched by nobody, is told from what just waits."""
+    """Jobs that no worker can ever run are distinguished from those that only wait."""
     round_planner = planner(worker("a", 4))
     requests = [
         request("big", 9),
@@ -159,7 +159,7 @@
 def test_task_counts_with_larger_of_declared_and_reported(
     reported: int, counted: int
 ) -> None:
-    """A task is counted with the larger of declared and reported use."""
+    """A task is allocated the larger of its declared and its reported usage."""
     inventory = WorkerInventory()
     inventory.add_worker(worker("a", 4))
     declared = Amounts(processors=2000)
@@ -172,7 +172,7 @@
 
 
 def test_new_owner_counts_running_tasks() -> None:
-    """After a takeover nothing is placed on top of what runs already."""
+    """After a takeover, running tasks are allocated before new ones are placed."""
     spec = JobSpec(name="old", kind=Kind.BATCH, processors=3.0)
     record = TaskRecord(index=0, state=TaskState.PLACED, attempt=1, worker="w1")
     shard = Shard(data_centre="dc-a")
@@ -187,7 +187,7 @@
 
 @attrs.define
 class Strategies:
-    """What the random histories draw from."""
+    """Hypothesis strategies for the random event sequences."""
 
     cpu = st.integers(1, 6)
     count = st.integers(1, 4)
@@ -197,7 +197,7 @@
 
 
 class ShardStateMachine(RuleBasedStateMachine):
-    """Any order of submissions, rounds, ends, failures, cancellations, losses."""
+    """Random sequences of submissions, rounds, reports, cancellations and losses."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -215,7 +215,7 @@
         team=Strategies.team,
     )
     def submit(self, cpu: int, count: int, kind: Kind, team: str) -> None:
-        """A job comes."""
+        """Submit a job."""
         self.count += 1
         spec = JobSpec(
             name=f"j{self.count}", kind=kind, team=team, processors=float(cpu)
@@ -225,7 +225,7 @@
 
     @rule()
     def round(self) -> None:
-        """A round is planned and becomes durable."""
+        """Plan a round and confirm it as durable."""
         self.shard.confirm(self.shard.plan())
 
     @rule(
@@ -234,7 +234,7 @@
         cpu=st.integers(0, 3),
     )
     def report(self, number: int, outcome: Outcome, cpu: int) -> None:
-        """A worker says something about one of its tasks."""
+        """Let a worker report on one of its tasks."""
         placed = sorted(self.shard.active)
         if placed:
             task = placed[number % len(placed)]
@@ -249,19 +249,19 @@
 
     @rule(number=Strategies.number)
     def cancel(self, number: int) -> None:
-        """An operator cancels a job."""
+        """Cancel a job."""
         self.shard.apply_change(InboxEntry(id="y", cancel=f"j{number}"))
 
     @rule(number=st.integers(0, 3))
     def expire_worker(self, number: int) -> None:
-        """A worker falls silent, its leases run out, and it comes back."""
+        """Let a worker go silent, its leases expire, and the worker return."""
         self.shard.worker_silent(f"w{number}")
         self.shard.expire_leases(f"w{number}", keep=True)
         self.shard.worker_responded(f"w{number}")
 
     @invariant()
     def capacity_is_not_exceeded(self) -> None:
-        """No worker is over capacity, and the book's sums are right."""
+        """Check that no worker exceeds its capacity and that the sums are right."""
         for each in self.shard.inventory.workers.values():
             total = NOTHING
             for needs in each.tasks.values():
@@ -272,7 +272,7 @@
 
     @invariant()
     def every_placement_is_counted_once(self) -> None:
-        """A placed task is on its worker in the book, and nowhere else."""
+        """Check that each placed task is allocated on its worker and nowhere else."""
         placed = {
             f"{job.spec.name}/{record.index}": record.worker
             for job in self.shard.jobs.values()
@@ -288,7 +288,7 @@
 
     @invariant()
     def no_partial_gang_placement(self) -> None:
-        """A gang that waits for a place holds none, unless it is stopping."""
+        """Check that a gang with pending members has no placed ones except stopping."""
         for job in self.shard.jobs.values():
             if job.spec.kind is not Kind.GANG:
                 continue
@@ -303,7 +303,7 @@
 
     @invariant()
     def quota_is_not_exceeded(self) -> None:
-        """A team with a quota never uses more than its share."""
+        """Check that a team with a quota never exceeds it."""
         total_capacity = self.shard.planner.total_capacity.processors
         used = self.shard.planner.teams["u"].used.processors
         assert used <= 0.4 * total_capacity
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's own loop: what must not stop it."""
+"""The scheduler's ownership loop: faults that must not stop it or lose changes."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 def make_scheduler() -> tuple[Scheduler, MemoryPlatform]:
-    """Return a scheduler that listens nowhere, and its table."""
+    """Return a scheduler without a listening server, and its table."""
     cfg = SchedulerOptions(
         name="s1",
         data_centre="dc-a",
@@ -34,14 +34,14 @@
 
 
 def submission(name: str) -> str:
-    """Return an accepted job as an inbox row holds it."""
+    """Return the inbox row value of an accepted job."""
     part = JobPart(spec=JobSpec(name=name, kind=Kind.BATCH), indices=(0,))
     return codec.encode_text(InboxEntry(id=name, submit=part))
 
 
 @pytest.mark.parametrize("bad", ["{", "{}", '{"id": 3}', '"text"'])
 def test_undecodable_inbox_entry_is_skipped_and_kept(bad: str) -> None:
-    """A change that can't be read stops nobody's work and is not lost."""
+    """A malformed inbox entry blocks no other entry and is not deleted."""
     scheduler, table = make_scheduler()
     prefix = inbox_prefix("dc-a")
 
@@ -61,7 +61,7 @@
 
 
 def test_change_and_inbox_deletion_are_one_transaction() -> None:
-    """A job is taken on and its inbox row deleted together, lost reply or not."""
+    """A job is stored and its inbox row deleted atomically, even if a reply is lost."""
     scheduler, table = make_scheduler()
     prefix = inbox_prefix("dc-a")
 
@@ -85,7 +85,7 @@
 
 
 def test_shutdown_during_a_round_releases_the_lease() -> None:
-    """A round under way is finished first; the lease is then given up, not lost."""
+    """A round in progress is finished first; the lease is then released, not lost."""
     scheduler, table = make_scheduler()
 
     async def scenario() -> None:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,6 +1,6 @@
-"""A whole session through the real separate processes, against a golden file.
+"""A complete session with real, separate processes, compared with a golden file.
 
-`make golden` writes the golden files anew.
+`make golden` regenerates the golden files.
 """
 
 import re
@@ -61,7 +61,7 @@
 
 
 class Transcript:
-    """What was asked and answered, with what differs between runs masked."""
+    """Requests and responses, with details that vary between runs masked."""
 
     def __init__(
         self, folder: Path, scheduler: ProgramProcess, gateway: ProgramProcess
@@ -108,7 +108,7 @@
 
 
 def test_session(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
-    """Operators and callers, good input and bad, from start to shutdown."""
+    """Operators and callers, valid and invalid input, from start to shutdown."""
     (tmp_path / "workloads.toml").write_text(WORKLOADS)
     (tmp_path / "faulty.toml").write_text(INVALID_WORKLOADS)
     (tmp_path / "good.toml").write_text("[routing]\nqueue_s = 0.5\n")
@@ -131,7 +131,7 @@
 
 
 def _record_dump_and_metrics(script: Transcript, program: ProgramProcess) -> None:
-    """Every process shows its state and its metrics on request."""
+    """Every process serves its state and its metrics."""
     dump = httpx.get(program.url + "/v1/dump", trust_env=False).json()
     found = httpx.get(program.url + "/v1/metrics", trust_env=False).json()
     resource = found["resource_metrics"][0]["resource"]["attributes"]
@@ -183,7 +183,7 @@
 
 
 def _wait_for_replay(gateway: ProgramProcess, key: str) -> None:
-    """Wait until a repeat is replayed, so that the golden run asks just once."""
+    """Wait until repeats are replayed, so that the transcript has a single request."""
 
     def replayed() -> bool:
         res = httpx.post(
