--- a/cranberrycleat/audit.py
+++ b/cranberrycleat/audit.py
@@ -1,7 +1,7 @@
-"""The audit: judges the system by the worker stand-ins' own records.
+"""Checks the system's guarantees against the worker stand-ins' own records.
 
-It compares what workers did with what callers were told, and knows nothing of
-the system's own books. Each fault is a finding.
+Compares what workers executed with the outcomes reported to callers. It is
+independent of the scheduler's own state. Each violation is a `Finding`.
 """
 
 import math
@@ -24,7 +24,14 @@
 
 @attrs.frozen(kw_only=True, order=True)
 class TaskRun:
-    """When one attempt of a task ran on one worker, on the shared clock."""
+    """One run of a task attempt on a worker, timed on the clock all workers share.
+
+    Attributes:
+        began: When the run began.
+        ended: When the run ended; infinity where its end was not recorded.
+        worker: The worker's name.
+        attempt: The number of the attempt.
+    """
 
     began: float
     ended: float
@@ -35,11 +42,12 @@
 def audit(
     records: Sequence[WorkerRecord], results: Iterable[CallResult] = ()
 ) -> tuple[errors.Finding, ...]:
-    """Return every promise that was broken.
+    """Return every violated guarantee, sorted and without duplicates.
 
     Args:
-        records: The records of all workers; their clocks must be one machine's.
-        notes: What callers were told.
+        records: The records of all workers. Their timestamps must come from the
+            clock of a single machine, because runs are compared across workers.
+        results: The calls made, with the outcomes reported to the callers.
     """
     found: list[errors.Finding] = []
     found.extend(_check_capacity(records))
@@ -61,7 +69,7 @@
 
 
 def runs_by_task(records: Sequence[WorkerRecord]) -> dict[str, list[TaskRun]]:
-    """Return when and where each task ran."""
+    """Return the runs of each task, by task."""
     found: dict[str, list[TaskRun]] = {}
     for record in records:
         open_runs: dict[tuple[str, int], float] = {}
@@ -123,6 +131,8 @@
     if result.reported_outcome is CallOutcome.NOT_RUN and run_count:
         yield _finding(place, RAN_AFTER_NOT_RUN, f"ran {run_count} times")
     if not result.response_matches:
-        yield _finding(place, MISMATCHED_RESPONSE, "the answer was not this request's")
+        yield _finding(
+            place, MISMATCHED_RESPONSE, "response belongs to another request"
+        )
     if result.status == 503 and not result.retry_after:
-        yield _finding(place, NO_RETRY_AFTER, "refused without saying when to return")
+        yield _finding(place, NO_RETRY_AFTER, "rejected without a Retry-After header")
--- a/cranberrycleat/caller.py
+++ b/cranberrycleat/caller.py
@@ -1,7 +1,8 @@
-"""A caller of services through gateways, for the demo, tests and benches.
+"""A client that calls services through gateways, for the demo, tests and benches.
 
-It sends requests with an id of its own, and notes for each what it was told:
-answered (and whether the answer was whole and its own), not run, or unknown.
+It gives each request a unique id and records the outcome reported to it: answered
+(and whether the response is complete and belongs to the request), not run, or
+unknown.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 
 
 class CallOutcome(enum.Enum):
-    """What a caller was told about its request."""
+    """The outcome of a request as reported to its caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -27,17 +28,19 @@
 
 @attrs.frozen(kw_only=True)
 class CallResult:
-    """One request and what its caller was told.
+    """One request and the outcome reported to its caller.
 
     Attributes:
         id: The request's id, which endpoints record.
-        key: Its idempotency key, if it had one.
-        told: What the caller was told.
-        own: Whether the answer was whole and for this very request.
-        replayed: Whether it was the kept answer to an earlier request.
-        status: The HTTP status; 0 where no answer came.
+        key: The idempotency key, if any.
+        reported_outcome: The outcome reported to the caller.
+        response_matches: Whether the response, if there is one, is complete and
+            belongs to this request.
+        replayed: Whether the response is the stored one of an earlier request
+            with the same key.
+        status: The HTTP status; 0 if no response arrived.
         took_s: How long the caller waited, in seconds.
-        retry_after: Whether a refusal said when to come back.
+        retry_after: Whether the response has a Retry-After header.
     """
 
     id: str
@@ -52,12 +55,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Caller:
-    """Calls one service through any of several gateways.
+    """Calls one service through several gateways in round-robin order.
 
     Attributes:
         gateways: The gateways' base URLs.
         service: The service to call.
-        notes: What was told of each request so far.
+        results: The results of all requests so far.
     """
 
     gateways: tuple[str, ...]
@@ -74,17 +77,17 @@
     _request_count: int = 0
 
     async def send_get(self, path: str = "", **headers: str) -> CallResult:
-        """Send a request that may be repeated."""
+        """Send a GET request, which gateways may retry."""
         return await self._send("GET", path, None, headers)
 
     async def send_post(self, path: str = "", **headers: str) -> CallResult:
-        """Send a request that may not be repeated, with no key."""
+        """Send a POST request without an idempotency key; it must not be retried."""
         return await self._send("POST", path, None, headers)
 
     async def send_keyed_post(
         self, key: str, path: str = "", **headers: str
     ) -> CallResult:
-        """Send a request that is to run at most once."""
+        """Send a POST request with an idempotency key, to run at most once."""
         return await self._send("POST", path, key, headers)
 
     async def _send(
@@ -118,7 +121,7 @@
         return result
 
     async def close(self) -> None:
-        """Close connections."""
+        """Close all connections."""
         await self._client.aclose()
 
 
--- a/cranberrycleat/cell.py
+++ b/cranberrycleat/cell.py
@@ -1,7 +1,8 @@
-"""A whole cell in one process: stand-ins, schedulers and gateways.
+"""Runs a complete cell in one process: stand-ins, schedulers and gateways.
 
-The demo and the tests start one; each part listens on loopback and talks over
-HTTP as it would alone. A cell's description is a file (`examples/*/cell.toml`).
+Used by the demo. Every component listens on loopback and communicates over HTTP,
+as it does in a process of its own. A cell is described by a file
+(`examples/*/cell.toml`).
 """
 
 from pathlib import Path
@@ -26,20 +27,20 @@
 
 @attrs.frozen(kw_only=True)
 class CellPlan:
-    """A cell's description.
+    """The description of a cell.
 
     Attributes:
         name: The deployment's name.
-        region: Its region.
-        data_centres: Its data centres.
-        workers: How many workers, spread evenly over the data centres.
-        rack_size: How many workers stand in a rack.
-        processors: Processors a worker has.
-        memory_mb: Memory a worker has.
-        slots: Requests a worker's services answer at once.
-        connections: Connections a worker takes.
-        entry_hosts: How many entry hosts there are.
-        labels: Labels on every worker.
+        region: The deployment's region.
+        data_centres: The names of the data centres.
+        workers: Number of workers, distributed evenly over the data centres.
+        rack_size: Number of workers per rack.
+        processors: Processors per worker.
+        memory_mb: Memory per worker, in MB.
+        slots: Requests that the services of a worker serve concurrently.
+        connections: Connections that a worker accepts.
+        entry_hosts: Number of entry hosts.
+        labels: Labels that every worker has.
     """
 
     name: str
@@ -57,7 +58,10 @@
 
 @attrs.frozen(kw_only=True)
 class CellTimings:
-    """How fast the parts of a cell go, in seconds; short for the demo."""
+    """Lease durations, intervals and timeouts of a cell's components, in seconds.
+
+    Shorter than the defaults in `options`, to keep the demo short.
+    """
 
     lease_s: float = 1.5
     worker_lease_s: float = 3.5
@@ -71,7 +75,7 @@
 
 
 def load_plan(path: Path) -> CellPlan:
-    """Read a cell's description."""
+    """Read the description of a cell."""
     return cattrs.structure(read_document(path), CellPlan)
 
 
@@ -80,12 +84,12 @@
     """A running cell.
 
     Attributes:
-        plan: Its description.
-        times: How fast its parts go.
+        plan: The description of the cell.
+        timings: Lease durations, intervals and timeouts of the components.
         platform: The platform stand-in.
         workers: The worker stand-ins, by name.
-        schedulers: The schedulers, one a data centre.
-        gateways: The gateways, spread over the data centres.
+        schedulers: The schedulers; `start` adds one per data centre.
+        gateways: The gateways, distributed over the data centres.
     """
 
     plan: CellPlan
@@ -98,7 +102,7 @@
     gateways: list[Gateway] = attrs.field(factory=list)
 
     async def start(self) -> None:
-        """Start every part, the ones that others ask first."""
+        """Start all components, dependencies before their dependents."""
         await self.platform.start()
         for number in range(self.plan.workers):
             await self._start_worker(number)
@@ -108,7 +112,7 @@
             await self._start_gateway(number)
 
     async def stop(self) -> None:
-        """Stop every part."""
+        """Stop all components, dependents before their dependencies."""
         for gateway in self.gateways:
             await gateway.stop()
         for scheduler in self.schedulers:
@@ -141,7 +145,7 @@
         self.workers[name] = worker
 
     async def add_scheduler(self, name: str, data_centre: str) -> Scheduler:
-        """Start one more scheduler."""
+        """Start an additional scheduler."""
         timings = self.timings
         cfg = SchedulerOptions(
             name=name,
--- a/cranberrycleat/cli.py
+++ b/cranberrycleat/cli.py
@@ -1,7 +1,7 @@
-"""The command line: daemons, stand-ins and the operator's commands.
+"""The command line: daemons, stand-ins and operator commands.
 
-Every flag of a daemon is declared in `options`; this module only turns those
-declarations into commands. Findings are printed one a line, all at once.
+The flags of daemons are declared in `options`; this module builds commands from
+those declarations. All findings are reported together, one per line.
 """
 
 import asyncio
@@ -32,19 +32,19 @@
     "dump": "cranberrycleat.cli_operator",
     "explain": "cranberrycleat.cli_explain",
 }
-"""Commands whose modules are imported only when they are called: a daemon that
-is restarted does not load the clients and benches (0.3 s of its start)."""
+"""Commands whose modules are imported on first use. This saves 0.3 s when a daemon
+restarts, as it does not load the operator clients and benches."""
 
 
 class LazyGroup(click.Group):
-    """A group some of whose commands are imported at their first use."""
+    """A command group that imports the modules of `LAZY_COMMANDS` on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return every command's name."""
+        """Return the names of all commands, without importing their modules."""
         return sorted({*super().list_commands(ctx), *LAZY_COMMANDS})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command, imported if need be."""
+        """Return a command; imports its module if it is a lazy one."""
         module = LAZY_COMMANDS.get(cmd_name)
         if module is None:
             return super().get_command(ctx, cmd_name)
@@ -55,28 +55,34 @@
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="cranberrycleat")
 def main() -> None:
-    """A cluster scheduler for services, batch and all-at-once jobs.
+    """A cluster scheduler for services, batch jobs and gangs.
 
-    Run `gateway` and `scheduler` on each entry host; drive them with `job`,
-    `worker`, `config`, `status` and `dump`. `demo` shows the whole path on
-    small stand-ins for the platform and the workers.
+    Run `gateway` and `scheduler` on each entry host; control them with `job`,
+    `worker`, `config`, `status` and `dump`. `demo` runs the system end to end on
+    minimal stand-ins for the platform and the workers.
 
-    Exit codes: 0 done; 1 failed; 2 bad usage or input; 3 nobody could be
-    reached; 4 refused.
+    Exit codes: 0 success; 1 failure; 2 invalid usage or input; 3 no process
+    could be reached; 4 request refused.
     """
 
 
 def fail(findings: tuple[errors.Finding, ...]) -> NoReturn:
-    """Print findings, one a line, and exit."""
+    """Print findings to standard error, one per line; exit with `EXIT_USAGE`."""
     for each in findings:
         click.echo(f"error: {each}", err=True)
     sys.exit(errors.EXIT_USAGE)
 
 
 def daemon_command(cls: type[Any], help_text: str) -> Callable[[Any], click.Command]:
-    """Make a command whose flags are the fields of an options class.
+    """Return a decorator that builds a command from an options class.
 
-    The decorated function gets the options object and returns the part to run.
+    The command has one flag per field of the class. The decorated function
+    receives the options object and returns the daemon to run; the command is
+    named after it, without the prefix `run_`.
+
+    Args:
+        cls: The options class.
+        help_text: The help text of the command.
     """
 
     def decorator(build: Callable[[Any], lifecycle.Daemon]) -> click.Command:
@@ -122,7 +128,9 @@
         sys.exit(errors.EXIT_FAILED)
 
 
-@daemon_command(GatewayOptions, "Take callers' requests and route them to endpoints.")
+@daemon_command(
+    GatewayOptions, "Accept requests of callers and route them to endpoints."
+)
 def run_gateway(cfg: GatewayOptions) -> lifecycle.Daemon:
     from cranberrycleat import plugins
     from cranberrycleat.gateway import Gateway
@@ -133,7 +141,7 @@
 
 
 @daemon_command(
-    SchedulerOptions, "Serve operators, and own this data centre's workers."
+    SchedulerOptions, "Serve operators and schedule on this data centre's workers."
 )
 def run_scheduler(cfg: SchedulerOptions) -> lifecycle.Daemon:
     from cranberrycleat import plugins
@@ -145,7 +153,7 @@
 
 
 @daemon_command(
-    NodeOptions, "Serve callers on a host of the platform; may own its workers."
+    NodeOptions, "Serve callers on a platform host; may take ownership of its workers."
 )
 def run_node(cfg: NodeOptions) -> lifecycle.Daemon:
     from cranberrycleat.http_client import HttpClient
@@ -158,17 +166,17 @@
 
 @click.group()
 def standin() -> None:
-    """Small fakes of the platform and of a worker, for tests and the demo."""
+    """Minimal fakes of the platform and of a worker, for tests and the demo."""
 
 
-@daemon_command(PlatformOptions, "The platform's table, object store and host list.")
+@daemon_command(PlatformOptions, "Fake platform: table, object store and host list.")
 def run_platform(cfg: PlatformOptions) -> lifecycle.Daemon:
     from cranberrycleat.standins.parts import platform_part
 
     return platform_part(cfg)
 
 
-@daemon_command(WorkerOptions, "A worker that runs tasks under leases.")
+@daemon_command(WorkerOptions, "Fake worker that runs tasks under leases.")
 def run_worker(cfg: WorkerOptions) -> lifecycle.Daemon:
     from cranberrycleat.standins.parts import worker_part
 
--- a/cranberrycleat/cli_operator.py
+++ b/cranberrycleat/cli_operator.py
@@ -1,4 +1,4 @@
-"""The operator's commands: `job`, `worker`, `config`, `status` and `dump`."""
+"""The operator commands `job`, `worker`, `config`, `status` and `dump`."""
 
 import asyncio
 import json
@@ -46,7 +46,11 @@
 
 
 def _run_or_exit(awaitable: Awaitable[T]) -> T:
-    """Wait for an answer; a refusal is printed and becomes an exit code."""
+    """Return the awaitable's result.
+
+    A refused request or an unreachable scheduler is printed and ends the process
+    with the exit code for it.
+    """
 
     async def run_awaitable() -> T:
         return await awaitable
@@ -67,7 +71,7 @@
 
 @click.group()
 def job() -> None:
-    """Submit, cancel and look at jobs."""
+    """Submit, cancel and show jobs."""
 
 
 @job.command("submit")
@@ -76,7 +80,7 @@
 def job_submit(files: tuple[Path, ...], scheduler: str) -> None:
     """Submit the jobs in workload FILES (TOML or JSON).
 
-    All files are checked before the first job is submitted.
+    All files are validated before the first job is submitted.
     """
     try:
         specs = load_jobs(files)
@@ -93,21 +97,23 @@
 @click.argument("name")
 @_scheduler_option
 def job_cancel(name: str, scheduler: str) -> None:
-    """Cancel job NAME: pending tasks never start, running ones are stopped."""
+    """Cancel job NAME: pending tasks are not started, running ones are stopped."""
     _run_or_exit(_make_client(scheduler).cancel(name))
     click.echo(f"accepted the cancellation of {name}")
 
 
 @job.command("status")
 @click.argument("name")
-@click.option("--wait", type=float, default=0.0, help="Seconds to wait for its end.")
+@click.option(
+    "--wait", type=float, default=0.0, help="Seconds to wait for the job to end."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @_scheduler_option
 def job_status(name: str, wait: float, as_json: bool, scheduler: str) -> None:
-    """Say what became of job NAME.
+    """Show the status of job NAME.
 
-    Exits with 1 where a task failed, can never run, or, with --wait, is not
-    done in time.
+    Exits with 1 if a task failed, can never run, or, with --wait, has not ended
+    in time.
     """
     found = _run_or_exit(_wait_for_job(_make_client(scheduler), name, wait))
     if as_json:
@@ -141,14 +147,14 @@
 
 @click.group()
 def worker() -> None:
-    """Look at workers, label them, vouch that one is gone."""
+    """List workers, label them, declare one dead."""
 
 
 @worker.command("list")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @_scheduler_option
 def worker_list(as_json: bool, scheduler: str) -> None:
-    """List the workers of every shard whose owner is among the schedulers."""
+    """List the workers of every shard owned by one of the given schedulers."""
     worker_lists = _run_or_exit(_make_client(scheduler).workers())
     if as_json:
         click.echo(codec.encode_text(worker_lists))
@@ -174,7 +180,7 @@
 @click.argument("labels", nargs=-1, required=True)
 @_scheduler_option
 def worker_label(name: str, labels: tuple[str, ...], scheduler: str) -> None:
-    """Set LABELS (key=value) on worker NAME, or remove one (key-)."""
+    """Set LABELS (key=value) of worker NAME, or remove them (key-)."""
     changes: dict[str, str | None] = {}
     for text in labels:
         if text.endswith("-") and "=" not in text:
@@ -190,12 +196,12 @@
 
 @worker.command("dead")
 @click.argument("name")
-@click.confirmation_option(prompt="Is it certain that the worker runs nothing?")
+@click.confirmation_option(prompt="Is it certain that the worker runs no tasks?")
 @_scheduler_option
 def worker_dead(name: str, scheduler: str) -> None:
-    """Vouch that worker NAME is gone, so that its tasks are re-placed at once.
+    """Declare worker NAME dead, so that its tasks are placed elsewhere at once.
 
-    If it still runs, its tasks will run in two places.
+    If the worker still runs, its tasks run in two places.
     """
     _run_or_exit(_make_client(scheduler).declare_dead(name))
     click.echo(f"accepted the declaration that {name} is dead")
@@ -203,11 +209,11 @@
 
 @click.group()
 def config() -> None:
-    """Check, apply and show the configuration."""
+    """Validate, apply and show the configuration."""
 
 
 def load_config(path: Path) -> Configuration:
-    """Read and check a configuration file; exits with its faults."""
+    """Read and validate a configuration file; on errors, print them and exit."""
     try:
         return load_configuration(path)
     except errors.FindingsError as exc:
@@ -217,7 +223,7 @@
 @config.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def config_check(file: Path) -> None:
-    """Check configuration FILE without applying it."""
+    """Validate configuration FILE without applying it."""
     load_config(file)
     click.echo(f"{file}: no errors found")
 
@@ -228,11 +234,11 @@
     "--made-from",
     type=int,
     default=None,
-    help="The version that the change was made from; without it, the newest.",
+    help="The version that the change is based on; default: the newest.",
 )
 @_scheduler_option
 def config_apply(file: Path, made_from: int | None, scheduler: str) -> None:
-    """Apply configuration FILE; refused where another change came first."""
+    """Apply configuration FILE; refused if another change was applied first."""
     cfg = load_config(file)
     client = _make_client(scheduler)
     if made_from is None:
@@ -245,7 +251,7 @@
 @config.command("show")
 @_scheduler_option
 def config_show(scheduler: str) -> None:
-    """Show the configuration in force and its version."""
+    """Show the current configuration and its version."""
     found = _run_or_exit(_make_client(scheduler).config())
     click.echo(f"version {found.version}")
     click.echo(json.dumps(json.loads(found.text), indent=2))
@@ -255,7 +261,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @_scheduler_option
 def status(as_json: bool, scheduler: str) -> None:
-    """Show each scheduler in a line."""
+    """Show the status of each scheduler, one per line."""
     found = _run_or_exit(_make_client(scheduler).statuses())
     if as_json:
         click.echo(codec.encode_text(found))
--- a/cranberrycleat/demo.py
+++ b/cranberrycleat/demo.py
@@ -1,9 +1,9 @@
-"""The demo: both deployments on embedded stand-ins, with faults, then an audit.
+"""The demo: both example deployments on in-process stand-ins, with fault injection.
 
 For each deployment it submits the example workloads, calls the service through
-every gateway, repeats requests that may run only once through other gateways,
-crashes a worker and takes the platform down for a while, and finally compares
-what the workers recorded with what the callers were told.
+every gateway and repeats requests with an idempotency key through other gateways.
+Meanwhile it crashes a worker and takes the platform down for a while. Finally it
+audits the workers' records against the outcomes reported to callers.
 """
 
 import asyncio
@@ -32,13 +32,15 @@
 
 @attrs.frozen(kw_only=True)
 class DemoSize:
-    """How much the demo does.
+    """The scale of the demo.
 
     Attributes:
-        workers: Workers of a deployment.
-        entry_hosts: Gateways of a deployment, or 0 for as many as it has.
-        calls: Rounds of calls; each is one read and one run-once request.
-        gap_s: Seconds between rounds.
+        workers: Number of workers per deployment.
+        entry_hosts: Number of gateways per deployment; 0 for the number in the
+            deployment's description.
+        calls: Number of rounds of calls. Each round sends one GET request, and one
+            POST request with an idempotency key, which is then repeated.
+        round_interval_s: Seconds between rounds.
     """
 
     workers: int = 24
@@ -52,7 +54,25 @@
 
 @attrs.define(kw_only=True)
 class DemoSummary:
-    """What came of one deployment's demo."""
+    """The results of one deployment's demo.
+
+    The field names are the column headings of the printed table.
+
+    Attributes:
+        deployment: The deployment's name.
+        served: Requests that were answered.
+        not_run: Requests reported as not run.
+        unknown: Requests whose outcome is unknown.
+        replayed: Requests answered with the stored response of an earlier one.
+        placed: Tasks that were placed at least once.
+        done: Tasks that completed.
+        never: Tasks that can never run, as no worker can hold them.
+        unfinished: Tasks that had not ended in time; a service's tasks count
+            unless they are placed.
+        wait_p50_ms: Median latency of answered requests.
+        wait_p99_ms: 99th percentile latency of answered requests.
+        faults: The violations that the audit found.
+    """
 
     deployment: str
     served: int = 0
@@ -69,7 +89,7 @@
 
 
 async def run_demo(size: DemoSize) -> tuple[DemoSummary, ...]:
-    """Run every deployment in turn and return what came of each."""
+    """Run the demo for each deployment in turn and return the results."""
     return tuple([await _run_deployment(name, size) for name in DEPLOYMENT_NAMES])
 
 
@@ -91,7 +111,7 @@
 
 
 def _scale_jobs(jobs: tuple[JobSpec, ...], size: DemoSize) -> tuple[JobSpec, ...]:
-    """Ask for fewer tasks where there are fewer workers."""
+    """Scale the number of tasks in proportion to the number of workers."""
     share = size.workers / DemoSize().workers
     return tuple(
         attrs.evolve(job, tasks=max(1, round(job.tasks * share))) for job in jobs
@@ -144,7 +164,7 @@
 async def _wait_until(
     condition: Callable[[], Awaitable[bool]], wait_s: float = WAIT_TIMEOUT_S
 ) -> bool:
-    """Wait until something holds; return whether it did in time."""
+    """Poll until a condition holds; return whether it did in time."""
     loop = asyncio.get_running_loop()
     end = loop.time() + wait_s
     while loop.time() < end:
@@ -155,7 +175,7 @@
 
 
 async def _inject_faults(cell: Cell) -> None:
-    """Crash a worker, then take the platform down for a while."""
+    """Crash a worker, then take the platform down for `PLATFORM_OUTAGE_S`."""
     await asyncio.sleep(1.0)
     await next(iter(cell.workers.values())).crash()
     await asyncio.sleep(1.0)
@@ -165,7 +185,7 @@
 
 
 async def _send_calls(caller: Caller, size: DemoSize) -> None:
-    """Call the service; each run-once request goes out twice."""
+    """Call the service; each request with an idempotency key is sent twice."""
     calls: list[asyncio.Task[object]] = []
     for number in range(size.calls):
         key = secrets.token_hex(8)
@@ -176,7 +196,7 @@
 
 
 async def _send_twice(caller: Caller, key: str) -> None:
-    """Send a run-once request, and repeat it through the next gateway."""
+    """Send a request with an idempotency key and repeat it through the next gateway."""
     await caller.send_keyed_post(key, "book")
     await caller.send_keyed_post(key, "book")
 
@@ -229,7 +249,10 @@
 
 
 def print_summaries(summaries: tuple[DemoSummary, ...]) -> bool:
-    """Print the table; return whether nothing was lost or ran twice."""
+    """Print the results as a table; return whether every deployment was sound.
+
+    A deployment is sound if the audit found no violation and no task is unfinished.
+    """
     columns = [
         field.name for field in attrs.fields(DemoSummary) if field.name != "faults"
     ]
@@ -241,7 +264,11 @@
         for fault in each.faults:
             click.echo(f"FAULT {each.deployment}: {fault}")
     good = all(not each.faults and not each.unfinished for each in summaries)
-    click.echo("nothing was lost, nothing ran twice" if good else "NOT GOOD")
+    click.echo(
+        "no work was lost or run twice"
+        if good
+        else "FAILED: violations or unfinished tasks"
+    )
     return good
 
 
--- a/cranberrycleat/operator_client.py
+++ b/cranberrycleat/operator_client.py
@@ -1,7 +1,8 @@
-"""What the operator's commands ask of schedulers, over HTTP.
+"""The HTTP client of the operator commands.
 
-Every call tries the schedulers in the order given, and takes the next one
-where one cannot be reached or says that it takes nothing now.
+A request tries the schedulers in the given order and fails over to the next one if
+a scheduler is unreachable, draining or cut off from the platform's table. Worker
+lists and scheduler statuses are collected from all schedulers that answer.
 """
 
 from collections.abc import Awaitable, Callable
@@ -26,11 +27,11 @@
 
 @attrs.define(kw_only=True, eq=False)
 class OperatorClient:
-    """An operator's client.
+    """A client of the schedulers' operator API.
 
     Attributes:
-        urls: The schedulers' base URLs.
-        timeout_s: How long to wait for each, in seconds.
+        urls: The schedulers' base URLs, in the order to try them.
+        timeout_s: The timeout of each request, in seconds.
     """
 
     urls: tuple[str, ...]
@@ -54,11 +55,11 @@
         return await self._request_first("POST", path, Accepted, message=labels)
 
     async def declare_dead(self, worker: str) -> Accepted:
-        """Vouch that a worker is gone and runs nothing."""
+        """Declare a worker dead: the operator asserts that it runs no tasks."""
         return await self._request_first("POST", f"/v1/workers/{worker}/dead", Accepted)
 
     async def config(self) -> ConfigDocument:
-        """Return the configuration in force."""
+        """Return the current configuration and its version."""
         return await self._request_first("GET", "/v1/config", ConfigDocument)
 
     async def apply(self, change: ConfigChange) -> ConfigDocument:
@@ -76,7 +77,7 @@
         return await self._request_all("/v1/status", SchedulerStatus)
 
     async def dump(self, url: str) -> object:
-        """Return any process's state."""
+        """Return the internal state of the process at a base URL."""
 
         async def send_requests(client: JsonClient) -> object:
             return await call(client, "GET", url + "/v1/dump", object)
@@ -87,7 +88,7 @@
         self, method: str, path: str, kind: type[T], *, message: object = None
     ) -> T:
         async def send_requests(client: JsonClient) -> T:
-            last_error: Exception = errors.PeerUnavailable("no scheduler was named")
+            last_error: Exception = errors.PeerUnavailable("no scheduler URL was given")
             for url in self.urls:
                 try:
                     return await call(client, method, url + path, kind, message=message)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail for a fault that is listed in KNOWN-RED.txt.
+"""Handles tests that are known to fail because of a fault listed in KNOWN-RED.txt.
 
-They are run, and printed at the end with what was seen; only another failure makes a
-run fail.
+They are run and expected to fail, and listed with their details at the end of the
+run. Only failures of other tests fail the run.
 """
 
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def parse_known_red(text: str) -> dict[str, str]:
-    """Return the listed tests and what is said of each."""
+    """Return the listed tests and the details given for each."""
     lines = (line.partition("|") for line in text.splitlines() if line.strip())
     return {test.strip(): details.strip() for test, _, details in lines}
 
@@ -25,7 +25,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; all others must pass."""
+    """Mark the listed tests as expected to fail; all others must pass."""
     listed = _read()
     for item in items:
         if item.nodeid in listed:
@@ -34,7 +34,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list, and each listed test that passed."""
+    """Print each listed test, whether it passed, and its details."""
     listed = _read()
     if not listed:
         return
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Starts the real programs as separate processes on loopback, and faults them."""
+"""Starts the real programs as processes on loopback and injects faults into them."""
 
 import os
 import re
@@ -19,37 +19,37 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ProgramProcess:
-    """One running program."""
+    """A running program."""
 
     process: "subprocess.Popen[str]"
     url: str
 
     def suspend(self) -> None:
-        """Pause it, as a host under strain would."""
+        """Suspend the process (SIGSTOP), as on an overloaded host."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume the suspended process (SIGCONT)."""
         self.process.send_signal(signal.SIGCONT)
 
     def send_sighup(self) -> None:
-        """Tell it that its settings may have changed."""
+        """Send SIGHUP: the settings may have changed."""
         self.process.send_signal(signal.SIGHUP)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process (SIGKILL) and wait for its end."""
         self.process.kill()
         self.process.wait()
 
     def terminate(self) -> int:
-        """Ask it to shut down and return its exit code."""
+        """Request a graceful shutdown (SIGTERM) and return the exit code."""
         self.process.terminate()
         return self.process.wait(timeout=WAIT_TIMEOUT_S)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Fleet:
-    """The programs that one test started; all are ended with it."""
+    """The programs that a test started; all are killed when the test ends."""
 
     programs: list[ProgramProcess] = attrs.field(factory=list)
 
@@ -68,7 +68,7 @@
             program.process.wait()
 
     def start(self, *args: str) -> ProgramProcess:
-        """Start a daemon and wait until it listens."""
+        """Start a daemon and wait until it prints the URL it listens on."""
         process = subprocess.Popen(
             [sys.executable, "-m", "cranberrycleat", *args],
             stdout=subprocess.PIPE,
@@ -99,7 +99,7 @@
     def scheduler(
         self, name: str, platform: ProgramProcess, *extra_args: str
     ) -> ProgramProcess:
-        """Start a scheduler of data centre `dc-a` with short times."""
+        """Start a scheduler of data centre `dc-a` with short leases and intervals."""
         args = ["--name", name, "--data-centre", "dc-a", "--platform", platform.url]
         args += ["--lease-s", "1.0", "--worker-lease-s", "3.0", "--sync-s", "0.2"]
         args += ["--order-s", "0.5", "--round-s", "0.1", "--release-after-s", "0.5"]
@@ -111,7 +111,7 @@
     def gateway(
         self, name: str, platform: ProgramProcess, *peers: ProgramProcess
     ) -> ProgramProcess:
-        """Start a gateway of data centre `dc-a` with short times."""
+        """Start a gateway of data centre `dc-a` with short intervals."""
         args = ["--name", name, "--data-centre", "dc-a", "--platform", platform.url]
         args += ["--peers", ",".join(peer.url for peer in peers)]
         args += ["--digest-s", "0.1", "--config-poll-s", "0.2", "--drain-s", "0.5"]
@@ -119,7 +119,7 @@
 
 
 def run_command(*args: str, scheduler: str = "") -> "subprocess.CompletedProcess[str]":
-    """Run one operator's command to its end."""
+    """Run an operator command and wait for its end."""
     env = {"PATH": os.environ["PATH"], "CRANBERRYCLEAT_SCHEDULER": scheduler}
     return subprocess.run(
         [sys.executable, "-m", "cranberrycleat", *args],
@@ -131,7 +131,7 @@
 
 
 def wait_until(condition: Callable[[], bool], *, description: str) -> None:
-    """Wait until something holds; fail the test if it does not in time."""
+    """Poll until a condition holds; fail the test if it does not in time."""
     end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if condition():
--- a/tests/prove_row.py
+++ b/tests/prove_row.py
@@ -1,19 +1,20 @@
-"""A row of the prover: one mechanism, and the tests that notice its absence."""
+"""The definition of a mutant: a mechanism removed from a copy of the source."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Mutant:
-    """One mechanism, how it is taken out, and the tests that notice.
+    """A mechanism, the source edit that removes it, and the tests that must then fail.
 
     Attributes:
-        promise: The promise it serves, as numbered in docs/PROOFS.md.
-        what: What is left out.
-        file: The module it stands in.
-        text: The text that is replaced.
-        instead: What takes its place.
-        test: The tests to run, as pytest names them.
+        guarantee: The guarantee that the mechanism serves; numbers refer to
+            docs/PROOFS.md.
+        mechanism: The mechanism that is removed.
+        file: The module to edit, relative to the package.
+        text: The text to replace; it must occur exactly once in the module.
+        replacement: The text that replaces it.
+        test: The tests to run, as pytest arguments separated by spaces.
     """
 
     guarantee: str
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,7 @@
-"""A listed test is told from a new failure by the documented command."""
+"""Tests that known failures are kept apart from new ones in a plain pytest run.
+
+A known failure listed in KNOWN-RED.txt does not fail the run; any other one does.
+"""
 
 import pytest
 
@@ -34,7 +37,7 @@
 
 
 def test_listed_tests_exist(request: pytest.FixtureRequest) -> None:
-    """A line for a test that was renamed would let pass nothing, and say nothing."""
+    """An entry for a test that was renamed has no effect and goes unnoticed."""
     listed = conftest._read()
     for name in listed:
         path, _, function = name.partition("::")
--- a/tests/test_prove_rows.py
+++ b/tests/test_prove_rows.py
@@ -1,4 +1,4 @@
-"""Every row of the prover still names text that is there, and tests that are there."""
+"""Tests that each mutant of `tests.prove` refers to existing source text and tests."""
 
 import re
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("row", MUTANTS, ids=[row.mechanism for row in MUTANTS])
 def test_mutant_is_applicable(row: Mutant) -> None:
-    """A row whose text is gone takes nothing out, and its tests pass."""
+    """A mutant whose text is gone changes nothing, so its tests would still pass."""
     source = (prove.ROOT / "cranberrycleat" / row.file).read_text()
     assert row.text in source and row.replacement != row.text
     for test in row.test.split():
