--- a/cranberrycleat/forward.py
+++ b/cranberrycleat/forward.py
@@ -165,7 +165,7 @@
         finally:
             await res.aclose()
         if body is None:
-            return Unknown(reason="the response is too large to buffer")
+            return Unknown(reason="the answer is too large to be held whole")
         return _outcome(res, body)
 
     async def close(self) -> None:
--- a/cranberrycleat/workflow/cluster_state.py
+++ b/cranberrycleat/workflow/cluster_state.py
@@ -401,9 +401,7 @@
         placement = adopted_placement(left.task, left.attempt, left.needs, None, now)
         worker = self._worker_of(left.worker, left.needs)
         self._reserve(worker, placement)
-        self.stop(
-            worker, placement, "its end was not reported to the owner that placed it"
-        )
+        self.stop(worker, placement, "its owner died before it was heard to end")
 
     def _worker_of(self, name: str, needs: Amounts) -> FleetWorker:
         """Return the worker incarnation that an earlier owner placed work on."""
@@ -558,7 +556,7 @@
             stored=True,
             ordered=True,
             stopping=job_id not in self.unreadable,
-            stop_reason="orphaned attempt",
+            stop_reason="unknown attempt",
         )
         self._reserve(worker, placement)
         return placement
@@ -629,7 +627,7 @@
         names = {member.name for member in members}
         for worker, placement in self.placements_of(task.step.job.job_id):
             if placement.task in names:
-                self.stop(worker, placement, "an earlier attempt completed the task")
+                self.stop(worker, placement, "an earlier attempt was done")
 
     def _update_worker_health(
         self, worker: FleetWorker, end: EndedTask, now: float
@@ -656,7 +654,7 @@
             return
         for worker, placement in self._current_attempts(step):
             if not placement.stopping:
-                self.stop(worker, placement, "a member of its gang was lost")
+                self.stop(worker, placement, "gang lost a member")
 
     def _current_attempts(self, step: StepRun) -> Iterator[ReservedAttempt]:
         """Yield the current attempts of a step with their workers."""
@@ -686,6 +684,6 @@
                 continue
             for worker, placement in members:
                 if worker.liveness is Liveness.LIVE and not placement.stopping:
-                    self.stop(worker, placement, "a member's worker is silent")
+                    self.stop(worker, placement, "a member's worker has fallen silent")
                     stopped = True
         return stopped
--- a/cranberrycleat/workflow/fleet.py
+++ b/cranberrycleat/workflow/fleet.py
@@ -83,8 +83,8 @@
 class LossCause(enum.Enum):
     """How it was proved that an incarnation, or all that ran on it, is over."""
 
-    REPLACED = "another incarnation answers at its worker's address"
-    SILENT = "its worker was silent until its leases had expired"
+    REPLACED = "another life answers at its worker's address"
+    SILENT = "its worker was silent until its leases were over"
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -299,13 +299,13 @@
         if self.unresponsive:
             return "left an order unanswered"
         if self.held:
-            return "drained for upkeep"
+            return "held for upkeep"
         if self.has_unsized():
-            return "runs an orphaned attempt of unknown size"
+            return "runs what nobody knows"
         if now < self.quarantined_until:
-            return "quarantined after failures"
+            return "rests after failures"
         if self.has_running_probe():
-            return "probed after a quarantine"
+            return "probed after failures"
         return "tries a suspected task" if self.has_isolated_attempt() else None
 
     def has_running_probe(self) -> bool:
--- a/cranberrycleat/workflow/links.py
+++ b/cranberrycleat/workflow/links.py
@@ -456,7 +456,7 @@
             return
         stopped = progress.placements_to_stop(worker, self.cluster_state.time_of_day())
         for placement in stopped:
-            placement.stop("its worker is stalled")
+            placement.stop("its worker stands still")
         if now < worker.quarantined_until:
             return
         worker.quarantine(now)
--- a/cranberrycleat/workflow/owner.py
+++ b/cranberrycleat/workflow/owner.py
@@ -208,9 +208,7 @@
 
     def fenced(self) -> None:
         """Give up the ownership because a worker rejected this owner's epoch."""
-        emit(
-            events.OwnerLost(epoch=self.epoch, reason="a worker has seen a later epoch")
-        )
+        emit(events.OwnerLost(epoch=self.epoch, reason="a worker saw a later one"))
         self.lease.mark_lost()
         self._ended.set()
 
@@ -254,9 +252,7 @@
             self.changed()
             await self._ended.wait()
         except LeaseLost:
-            emit(
-                events.OwnerLost(epoch=self.epoch, reason="deposed during its takeover")
-            )
+            emit(events.OwnerLost(epoch=self.epoch, reason="deposed in its takeover"))
         except TakeoverTimeout:
             LOG.warning(
                 "stored rows not read within the takeover time limit; "
@@ -339,11 +335,7 @@
             try:
                 await self._store(batch)
             except LeaseLost:
-                emit(
-                    events.OwnerLost(
-                        epoch=self.epoch, reason="the row names another owner"
-                    )
-                )
+                emit(events.OwnerLost(epoch=self.epoch, reason="the row has another"))
                 self._ended.set()
                 return
             except Exception:
--- a/cranberrycleat/workflow/planner.py
+++ b/cranberrycleat/workflow/planner.py
@@ -162,7 +162,7 @@
             ):
                 if each is placement:
                     self.cluster_state.stop(
-                        worker, placement, f"preempted for {step.name}"
+                        worker, placement, f"makes room for {step.name}"
                     )
 
     def _wait_reason(self, step: StepRun, candidates: list[FleetWorker]) -> str:
@@ -172,7 +172,7 @@
             return "no room"
         permits = self.cluster_state.permits.get(step.name)
         asking = permits is not None and (permits.calls_in_flight or not permits.asked)
-        return "permits are being requested" if asking else NO_ELIGIBLE_WORKER
+        return "permits are being asked for" if asking else NO_ELIGIBLE_WORKER
 
     def _log_waiting(
         self, step: StepRun, reason: str, candidates: int, now: float, now_s: float
